--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -80,8 +80,8 @@
 
 // Quota is a router's side of the tenants' limits.
 type Quota interface {
-	// Hear takes the tenants whose demand is above their limit.
-	Hear(now time.Duration, shares []quota.Share)
+	// SetShares takes the tenants whose demand is above their limit.
+	SetShares(now time.Duration, shares []quota.Share)
 	// Spent returns what this router has admitted by itself since the last call.
 	Spent() []quota.Spent
 }
@@ -123,7 +123,7 @@
 	Name   string
 	Zone   string
 	Seeds  []string
-	Right  time.Duration
+	Lease  time.Duration
 	Decode Decode
 	Pool   Pool
 	// Saved may be nil.
@@ -133,7 +133,7 @@
 	// Pushbacks is what back ends want from this router; nil for nothing.
 	Pushbacks *pushback.Register
 	// Limits is what back ends take from all routers together; nil for no limits.
-	Limits *ratelimit.Register
+	Limits *ratelimit.Registry
 	Peers  *peer.Client
 	Logger *slog.Logger
 }
@@ -285,16 +285,16 @@
 	}
 	if v.Leader.Leadership() != f.token.Leadership() {
 		f.config.Pushbacks.TellAgain()
-		f.config.Limits.TellAgain()
+		f.config.Limits.ReportAgain()
 	}
 	if v.Leader != f.token {
 		f.config.Pool.ApplyNotes(v.Notes)
-		f.config.Limits.Announced(v.Limited)
+		f.config.Limits.SetAnnounced(v.Limited)
 		f.evidence.hear(v.Leader, v.Suspects)
 	}
 	f.routers.Store(int64(v.Routers))
 	if f.config.Quota != nil {
-		f.config.Quota.Hear(f.now(), v.Shares)
+		f.config.Quota.SetShares(f.now(), v.Shares)
 	}
 	if len(v.Saved) > 0 && f.config.Saved != nil {
 		f.config.Saved.Learn(v.Saved)
@@ -305,7 +305,7 @@
 		f.members = v.Members
 	}
 	if f.table.Load() != nil {
-		f.rightUntil.Store(max(f.rightUntil.Load(), int64(sent+f.config.Right)))
+		f.rightUntil.Store(max(f.rightUntil.Load(), int64(sent+f.config.Lease)))
 	}
 	return true
 }
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -82,7 +82,7 @@
 }
 
 func followWith(t *testing.T, pool Pool, right time.Duration, seeds ...string) *Follower {
-	f := New(Config{Name: "r", Seeds: seeds, Right: right, Decode: decode, Pool: pool, Saved: noParts{}, Peers: peer.NewClient(&peer.Counters{}),
+	f := New(Config{Name: "r", Seeds: seeds, Lease: right, Decode: decode, Pool: pool, Saved: noParts{}, Peers: peer.NewClient(&peer.Counters{}),
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -181,7 +181,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		f.Tell(ctx)
+		f.RunReports(ctx)
 		close(done)
 	}()
 	defer func() {
--- a/internal/follower/tell.go
+++ b/internal/follower/tell.go
@@ -24,9 +24,9 @@
 	return min(tellEvery+tellStep*time.Duration(routers), tellLimit)
 }
 
-// Tell brings the leader the router's load and newly saved prompt parts until
+// RunReports brings the leader the router's load and newly saved prompt parts until
 // the context ends.
-func (f *Follower) Tell(ctx context.Context) {
+func (f *Follower) RunReports(ctx context.Context) {
 	idle := false
 	for {
 		select {
