--- a/internal/backends/filter.go
+++ b/internal/backends/filter.go
@@ -31,7 +31,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.rows[id]
-	return version < p.notes.Minimum[model] || (r != nil && (r.Draining || r.wrong)) || p.standing(id).Barred()
+	return version < p.notes.Minimum[model] || (r != nil && (r.Draining || r.wrong)) || p.standing(id).Unavailable()
 }
 
 // placeWait is about how long a request waits for a place at an engine whose places
