--- a/internal/backends/choose.go
+++ b/internal/backends/choose.go
@@ -113,11 +113,11 @@
 	// Blocked names the back ends that ended while they ran the request, if that is kept
 	// from them.
 	Blocked []string
-	// Right is the right to send to a back end that takes only so much from all machines; nil
-	// where there is none. If nothing was found, Room is when there is room at one such, 0
-	// if that is not why.
-	Right *ratelimit.Permit
-	Room  time.Duration
+	// Permit is the right to send to a back end that takes only so much from all machines; nil
+	// where there is none. If nothing was found, RetryAfter is when there is room at one such,
+	// 0 if that is not why.
+	Permit     *ratelimit.Permit
+	RetryAfter time.Duration
 }
 
 // Name is how the back end names itself.
--- a/internal/coordapi/coordapi.go
+++ b/internal/coordapi/coordapi.go
@@ -40,7 +40,7 @@
 	Digest      *Digest            `json:"digest,omitempty"`
 	Leave       *Leave             `json:"leave,omitempty"`
 	Join        *Join              `json:"join,omitempty"`
-	Tell        *Tell              `json:"tell,omitempty"`
+	Update      *Update            `json:"tell,omitempty"`
 	Place       *Place             `json:"place,omitempty"`
 	Claim       *Claim             `json:"claim,omitempty"`
 	Repeat      *Repeat            `json:"repeat,omitempty"`
@@ -200,9 +200,9 @@
 	Born state.UnixMilli `json:"born,omitempty"`
 }
 
-// Tell brings the leader what a router has done lately. It is a hint: what is
+// Update brings the leader what a router has done lately. It is a hint: what is
 // lost is told again.
-type Tell struct {
+type Update struct {
 	Router string `json:"router"`
 	// Saved are prompt parts that the router is saving to the store, so that
 	// the others need not. A part is named by a hash of its salt and ID.
--- a/internal/coordapi/label.go
+++ b/internal/coordapi/label.go
@@ -7,7 +7,7 @@
 		return "place"
 	case r.Watch != nil:
 		return "watch"
-	case r.Tell != nil:
+	case r.Update != nil:
 		return "tell"
 	case r.Claim != nil:
 		return "claim"
--- a/internal/coordapi/limit.go
+++ b/internal/coordapi/limit.go
@@ -38,16 +38,16 @@
 
 // Claimed answers a Claim.
 type Claimed struct {
-	// Right is how long after the question the request may be sent; 0 for not at all.
-	Right time.Duration `json:"right,omitempty"`
-	// Free says that the back end names no limit any more.
-	Free bool `json:"free,omitempty"`
+	// Permit is how long after the question the permit to send the request holds; 0 for none.
+	Permit time.Duration `json:"right,omitempty"`
+	// Unlimited says that the back end names no limit any more.
+	Unlimited bool `json:"free,omitempty"`
 	// Wait is when the back end takes another request, whosever it is; 0 says that it keeps
 	// its next for others.
 	Wait time.Duration `json:"wait,omitempty"`
-	// Room is when there is room for the request at some back end of the pool, behind
+	// RetryAfter is when there is room for the request at some back end of the pool, behind
 	// those that were turned away before it.
-	Room time.Duration `json:"room,omitempty"`
+	RetryAfter time.Duration `json:"room,omitempty"`
 }
 
 // Repeat asks for one more repeat than a router's own requests allow, of what all routers
--- a/internal/coordapi/placement.go
+++ b/internal/coordapi/placement.go
@@ -101,12 +101,12 @@
 	// Blocked names the back ends that ended while they ran the request, if that is kept
 	// from them. Nothing is placed then.
 	Blocked []string `json:"blocked,omitempty"`
-	// Right is how long after the question the request may be sent to an engine that takes
-	// only so many a second from all machines; 0 if it has named no such limit.
-	Right time.Duration `json:"right,omitempty"`
-	// Room is when there is room for the request, if none may serve since all take only so
-	// many a second.
-	Room time.Duration `json:"room,omitempty"`
+	// Permit is how long after the question the permit holds to send the request to an engine
+	// that takes only so many a second from all machines; 0 if it has named no such limit.
+	Permit time.Duration `json:"right,omitempty"`
+	// RetryAfter is when there is room for the request, if none may serve since all take only
+	// so many a second.
+	RetryAfter time.Duration `json:"room,omitempty"`
 	// Uncounted says that the leader may not count the request against its tenant's
 	// limit now: the router must.
 	Uncounted bool `json:"uncounted,omitempty"`
--- a/internal/coordinator/blocking_test.go
+++ b/internal/coordinator/blocking_test.go
@@ -18,11 +18,11 @@
 
 // endings tells that back ends have ended under a request.
 func endings(request poison.Digest, age time.Duration, backends ...string) coordapi.Request {
-	tell := &coordapi.Tell{Router: "r"}
+	tell := &coordapi.Update{Router: "r"}
 	for _, id := range backends {
 		tell.Endings = append(tell.Endings, poison.FailedAttempt{Backend: id, Request: request, Down: true, Age: age, Duration: 50 * time.Millisecond})
 	}
-	return coordapi.Request{Tell: tell}
+	return coordapi.Request{Update: tell}
 }
 
 // blocked returns what a node's view says of a request.
@@ -166,6 +166,6 @@
 		}, poll.WithTimeout(10*time.Second), poll.WithDelay(20*time.Millisecond))
 	}
 	await("[0000000000000007]")
-	g.call(0, coordapi.Request{Tell: &coordapi.Tell{Router: "r", Reports: coordapi.Reports{Answered: []poison.Digest{7}}}})
+	g.call(0, coordapi.Request{Update: &coordapi.Update{Router: "r", Reports: coordapi.Reports{Answered: []poison.Digest{7}}}})
 	await("[]")
 }
--- a/internal/coordinator/calls.go
+++ b/internal/coordinator/calls.go
@@ -87,10 +87,10 @@
 		return s.takeDigest(ctx, *r.Digest)
 	case r.Leave != nil:
 		return s.leave(ctx, *r.Leave)
-	case r.Tell != nil:
-		s.takeReports(s.now(), r.Tell.Router, &r.Tell.Reports)
-		s.placer.ApplyReports(s.now(), r.Tell.Router, &r.Tell.Reports)
-		return s.asLeader(ctx, func(now time.Duration) { s.soft.told.take(now, r.Tell) })
+	case r.Update != nil:
+		s.takeReports(s.now(), r.Update.Router, &r.Update.Reports)
+		s.placer.ApplyReports(s.now(), r.Update.Router, &r.Update.Reports)
+		return s.asLeader(ctx, func(now time.Duration) { s.soft.told.take(now, r.Update) })
 	case r.Place != nil:
 		return s.place(r.Place), nil
 	case r.Claim != nil:
@@ -176,12 +176,12 @@
 	s.takeReports(now, ask.Router, &ask.Reports)
 	s.placer.ApplyReports(now, ask.Router, &ask.Reports)
 	verdict := s.backendLimits.Take(now, ratelimit.Request{Router: ask.Router, Number: ask.Number, Backend: ask.Backend, Claimant: ask.Claimant})
-	claimed := &coordapi.Claimed{Free: verdict.Unlimited, Wait: verdict.Wait}
+	claimed := &coordapi.Claimed{Unlimited: verdict.Unlimited, Wait: verdict.Wait}
 	switch {
 	case verdict.Granted:
-		claimed.Right = ratelimit.PermitTTL
+		claimed.Permit = ratelimit.PermitTTL
 	case !verdict.Unlimited:
-		claimed.Room = s.backendLimits.RetryAfter(now, ask.Pool)
+		claimed.RetryAfter = s.backendLimits.RetryAfter(now, ask.Pool)
 	}
 	return coordapi.Reply{Claimed: claimed}
 }
@@ -199,7 +199,7 @@
 func (s *Server) takeReports(now time.Duration, router string, reports *coordapi.Reports) {
 	s.limits.charge(now, reports.Spent)
 	s.placer.ClearLimited(now, s.backendLimits.Observe(now, reports.Limits))
-	s.placer.ClearLimited(now, s.backendLimits.Release(now, router, reports.Unused))
+	s.placer.ClearLimited(now, s.backendLimits.Unused(now, router, reports.Unused))
 	s.blocking.take(now, router, reports)
 	s.drain(router, draining(reports.Troubles))
 }
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -57,7 +57,7 @@
 func (f *fakeEngines) Load(_ context.Context, o LoadOrder) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.calls = append(f.calls, engineCall{time.Now(), o.Right != nil})
+	f.calls = append(f.calls, engineCall{time.Now(), o.Permit != nil})
 	e := f.at(o.Address)
 	if e.lost < f.unanswered {
 		e.lost++
@@ -78,7 +78,7 @@
 func (f *fakeEngines) Report(_ context.Context, to Target) (EngineReport, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.calls = append(f.calls, engineCall{time.Now(), to.Right != nil})
+	f.calls = append(f.calls, engineCall{time.Now(), to.Permit != nil})
 	e := f.at(to.Address)
 	return EngineReport{Orders: e.orders, Weights: map[string]int{"m": e.version}}, nil
 }
--- a/internal/coordinator/drain_test.go
+++ b/internal/coordinator/drain_test.go
@@ -38,12 +38,12 @@
 	drains := coordapi.Reports{Troubles: []coordapi.Trouble{{ID: "x", Kind: coordapi.Draining}, {ID: "unknown", Kind: coordapi.Draining}}}
 	for name, word := range map[string]coordapi.Request{
 		"a question": {Place: &coordapi.Place{Router: "r", Number: 1, Pool: "llm", Model: "m", Reports: drains}},
-		"a word":     {Tell: &coordapi.Tell{Router: "r", Reports: drains}},
+		"a word":     {Update: &coordapi.Update{Router: "r", Reports: drains}},
 	} {
 		id := map[string]string{"a question": "x", "a word": "y"}[name]
 		drains.Troubles[0].ID = id
-		if word.Tell != nil {
-			word.Tell.Reports = drains
+		if word.Update != nil {
+			word.Update.Reports = drains
 		}
 		g.call(0, beat(id, 1, false))
 		// To the leader, as routers ask.
--- a/internal/coordinator/enginecalls.go
+++ b/internal/coordinator/enginecalls.go
@@ -38,7 +38,7 @@
 		header.Set("Content-Type", "application/json")
 	}
 	request := &upstream.Request{Method: method, Target: path, Host: to.Address, Header: header, Body: body, NonIdempotent: true,
-		Backend: pushback.Backend{ID: to.Backend, Pool: to.Pool}, Instance: to.Instance, Right: to.Right}
+		Backend: pushback.Backend{ID: to.Backend, Pool: to.Pool}, Instance: to.Instance, Permit: to.Permit}
 	return e.pool.Call(ctx, to.Address, request, maxCall)
 }
 
--- a/internal/coordinator/enginecalls_test.go
+++ b/internal/coordinator/enginecalls_test.go
@@ -32,6 +32,6 @@
 	assert.Equal(t, len(calls.Limits(false)), 0)
 	assert.Equal(t, len(calls.Limits(true)), 1, "to a new leader")
 	assert.ErrorIs(t, calls.Load(context.Background(), LoadOrder{Target: to}), ratelimit.ErrNoPermit)
-	to.Right = ratelimit.UnlimitedPermit("x")
+	to.Permit = ratelimit.Unlimited("x")
 	assert.NilError(t, calls.Load(context.Background(), LoadOrder{Target: to}))
 }
--- a/internal/coordinator/limits.go
+++ b/internal/coordinator/limits.go
@@ -146,7 +146,7 @@
 		return nil
 	}
 	var out []coordapi.TenantLimit
-	for _, u := range l.bank.Usage(now) {
+	for _, u := range l.bank.Usages(now) {
 		out = append(out, coordapi.TenantLimit{Name: u.Name, Rate: float64(u.Rate), Burst: float64(u.Burst), Asked: float64(u.Asked), Refused: float64(u.Refused)})
 	}
 	return out
--- a/internal/coordinator/limits_test.go
+++ b/internal/coordinator/limits_test.go
@@ -58,7 +58,7 @@
 	// What a router gives back may be used.
 	assert.Equal(t, g.placeFor(1003, 200, quota.Spent{Tenant: "a", Amount: -150}).ID, "x")
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		g.call(0, coordapi.Request{Tell: &coordapi.Tell{Router: "r"}})
+		g.call(0, coordapi.Request{Update: &coordapi.Update{Router: "r"}})
 		g.placeFor(1004, 200)
 		reply := g.call(g.leader(), coordapi.Request{Watch: &coordapi.Watch{Router: "r"}})
 		if len(reply.View.Shares) == 0 {
--- a/internal/coordinator/orders.go
+++ b/internal/coordinator/orders.go
@@ -23,8 +23,8 @@
 	Address string
 	// Instance is how the engine names itself.
 	Instance string
-	// Right is needed where the engine takes only so much from all machines; else nil.
-	Right *ratelimit.Permit `json:"-"`
+	// Permit is needed where the engine takes only so much from all machines; else nil.
+	Permit *ratelimit.Permit `json:"-"`
 }
 
 func targetOf(row state.Backend) Target {
@@ -240,14 +240,14 @@
 	number, asked := s.rightNumber.Add(1), clock.Now()
 	verdict := s.backendLimits.Take(s.now(), ratelimit.Request{Router: s.settings.Name, Number: number, Backend: to.Backend,
 		Claimant: coordapi.Claimant{Urgency: ordersUrgency}})
-	to.Right = verdict.Permit(to.Backend, number, asked)
+	to.Permit = verdict.Permit(to.Backend, number, asked)
 	return verdict.Allowed()
 }
 
 // settleRight gives a right back if nothing was sent.
 func (s *Server) settleRight(to Target, err error) {
-	if errors.Is(err, upstream.ErrNotSent) && to.Right != nil {
-		s.backendLimits.Release(s.now(), s.settings.Name, []uint64{to.Right.Number()})
+	if errors.Is(err, upstream.ErrNotSent) && to.Permit != nil {
+		s.backendLimits.Unused(s.now(), s.settings.Name, []uint64{to.Permit.Number()})
 	}
 }
 
--- a/internal/coordinator/told.go
+++ b/internal/coordinator/told.go
@@ -107,7 +107,7 @@
 	loads []coordapi.Load
 }
 
-func (t *told) take(now time.Duration, news *coordapi.Tell) {
+func (t *told) take(now time.Duration, news *coordapi.Update) {
 	t.parts = append(t.parts, news.Saved...)
 	if excess := len(t.parts) - keptSaved; excess > 0 {
 		t.parts = slices.Clone(t.parts[excess:])
--- a/internal/coordinator/told_test.go
+++ b/internal/coordinator/told_test.go
@@ -13,7 +13,7 @@
 
 // tellLoads brings a router's load at a number of back ends.
 func tellLoads(t *told, router string, backends int) {
-	news := &coordapi.Tell{Router: router}
+	news := &coordapi.Update{Router: router}
 	for i := range backends {
 		news.Loads = append(news.Loads, coordapi.Load{ID: fmt.Sprintf("i-%010x", i*7919), Running: 1, Memory: 900 + i, Prompt: 40})
 	}
@@ -32,8 +32,8 @@
 
 func TestSharedLoadsSayHowOldTheyAre(t *testing.T) {
 	var sums told
-	sums.take(time.Second, &coordapi.Tell{Router: "a"})
-	sums.take(2*time.Second, &coordapi.Tell{Router: "b"})
+	sums.take(time.Second, &coordapi.Update{Router: "a"})
+	sums.take(2*time.Second, &coordapi.Update{Router: "b"})
 	assert.Assert(t, sums.announce(2200*time.Millisecond, 2))
 	assert.Equal(t, sums.toldAt, 1500*time.Millisecond)
 }
@@ -41,8 +41,8 @@
 func TestARefusalCountsForAWhile(t *testing.T) {
 	var news told
 	assert.Assert(t, !news.crowded(time.Second))
-	news.take(time.Second, &coordapi.Tell{Router: "a", Refused: 1})
-	news.take(1500*time.Millisecond, &coordapi.Tell{Router: "b"})
+	news.take(time.Second, &coordapi.Update{Router: "a", Refused: 1})
+	news.take(1500*time.Millisecond, &coordapi.Update{Router: "b"})
 	assert.Assert(t, news.crowded(1900*time.Millisecond))
 	assert.Assert(t, !news.crowded(2*time.Second))
 }
@@ -74,7 +74,7 @@
 func TestWhatEnginesHaveToDoIsAnnouncedSeldom(t *testing.T) {
 	var sums told
 	tell := func(now time.Duration) {
-		sums.take(now, &coordapi.Tell{Router: "a", Loads: []coordapi.Load{{ID: "engine", Running: 1, Engine: true}, {ID: "plain", Running: 1}}})
+		sums.take(now, &coordapi.Update{Router: "a", Loads: []coordapi.Load{{ID: "engine", Running: 1, Engine: true}, {ID: "plain", Running: 1}}})
 		assert.Assert(t, sums.announce(now, 1))
 	}
 	tell(time.Second)
@@ -94,7 +94,7 @@
 func TestARoutersLastWordCounts(t *testing.T) {
 	var sums told
 	word := func(now time.Duration, router string, loads ...coordapi.Load) {
-		sums.take(now, &coordapi.Tell{Router: router, Loads: loads})
+		sums.take(now, &coordapi.Update{Router: router, Loads: loads})
 	}
 	word(time.Second, "a", coordapi.Load{ID: "x", Running: 2, Prompt: 70}, coordapi.Load{ID: "y", Running: 1, Prompt: 5})
 	word(time.Second, "b", coordapi.Load{ID: "x", Running: 1, Prompt: 30})
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -93,7 +93,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
 	e.group.Go(func() { e.follower.Run(ctx) })
-	e.group.Go(func() { e.follower.RunReports(ctx) })
+	e.group.Go(func() { e.follower.Update(ctx) })
 	e.group.Go(func() { periodic.Run(ctx, overdueEvery, e.handler.CancelOverdue) })
 	if err := e.listen(e.readiness, e.settings.Readiness); err != nil {
 		return err
--- a/internal/follower/claim.go
+++ b/internal/follower/claim.go
@@ -33,12 +33,12 @@
 		return nil, placePause, 0
 	}
 	switch {
-	case reply.Claimed.Free:
-		return ratelimit.UnlimitedPermit(id), 0, 0
-	case reply.Claimed.Right > 0:
-		return ratelimit.NewPermit(id, ask.Number, asked, reply.Claimed.Right), 0, 0
+	case reply.Claimed.Unlimited:
+		return ratelimit.Unlimited(id), 0, 0
+	case reply.Claimed.Permit > 0:
+		return ratelimit.Granted(id, ask.Number, asked, reply.Claimed.Permit), 0, 0
 	}
-	return nil, reply.Claimed.Wait, reply.Claimed.Room
+	return nil, reply.Claimed.Wait, reply.Claimed.RetryAfter
 }
 
 // askable is the leader that may be asked now, nil for none: one that gave no answer a moment
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -289,7 +289,7 @@
 	}
 	if v.Leader != f.token {
 		f.config.Pool.ApplyNotes(v.Notes)
-		f.config.Limits.SetAnnounced(v.Limited)
+		f.config.Limits.Announced(v.Limited)
 		f.evidence.hear(v.Leader, v.Suspects)
 	}
 	f.routers.Store(int64(v.Routers))
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -56,7 +56,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		var request coordapi.Request
-		if json.Unmarshal(body, &request) == nil && request.Tell != nil {
+		if json.Unmarshal(body, &request) == nil && request.Update != nil {
 			s.told++
 		}
 		if request.Place != nil {
@@ -181,7 +181,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		f.RunReports(ctx)
+		f.Update(ctx)
 		close(done)
 	}()
 	defer func() {
--- a/internal/follower/place.go
+++ b/internal/follower/place.go
@@ -99,8 +99,8 @@
 		f.config.Logger.Info("leader places again", "part", "follower", "address", *leader)
 	}
 	choice, found = placer.Choice(ask, reply.Placed)
-	if reply.Placed.Right > 0 {
-		choice.Right = ratelimit.NewPermit(coordapi.BackendID(choice.ID), ask.Number, asked, reply.Placed.Right)
+	if reply.Placed.Permit > 0 {
+		choice.Permit = ratelimit.Granted(coordapi.BackendID(choice.ID), ask.Number, asked, reply.Placed.Permit)
 	}
 	return choice, found, true
 }
@@ -121,7 +121,7 @@
 	if f.config.Quota != nil {
 		reports.Spent = append(reports.Spent, f.config.Quota.Spent()...)
 	}
-	reports.Limits, reports.Unused = f.config.Limits.TakeUnreported(), f.config.Limits.TakeReleased()
+	reports.Limits, reports.Unused = f.config.Limits.TakeUnreported(), f.config.Limits.Unused()
 	f.evidence.take(f.now(), &reports)
 	return reports
 }
--- a/internal/follower/report.go
+++ b/internal/follower/report.go
@@ -24,9 +24,9 @@
 	return min(tellEvery+tellStep*time.Duration(routers), tellLimit)
 }
 
-// RunReports brings the leader the router's load and newly saved prompt parts until
+// Update brings the leader the router's load and newly saved prompt parts until
 // the context ends.
-func (f *Follower) RunReports(ctx context.Context) {
+func (f *Follower) Update(ctx context.Context) {
 	idle := false
 	for {
 		select {
@@ -39,7 +39,7 @@
 		if leader == nil {
 			continue
 		}
-		news := &coordapi.Tell{Router: f.name, Saved: f.config.Saved.TakeNew(), Loads: f.config.Pool.OwnLoads(), Refused: f.config.Pool.Refused(),
+		news := &coordapi.Update{Router: f.name, Saved: f.config.Saved.TakeNew(), Loads: f.config.Pool.OwnLoads(), Refused: f.config.Pool.Refused(),
 			Reports: f.reports()}
 		quiet := news.Empty() && len(news.Saved) == 0 && len(news.Loads) == 0 && news.Refused == 0
 		if quiet && idle {
@@ -48,7 +48,7 @@
 		idle = quiet
 		call, cancel := context.WithTimeout(ctx, tellTimeout)
 		var reply coordapi.Reply
-		err := f.config.Peers.Call(call, *leader, coordapi.KindCall, coordapi.Request{Tell: news}, &reply)
+		err := f.config.Peers.Call(call, *leader, coordapi.KindCall, coordapi.Request{Update: news}, &reply)
 		if err != nil || reply.NotLeader {
 			// Reports must arrive, all else is told anew.
 			f.keep(&news.Reports)
--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -160,7 +160,7 @@
 	}
 	answer, err := h.config.Upstream.Do(ctx, choice.Address, j.request)
 	// One that is not used by now never will be.
-	h.config.Limits.Release(choice.Right)
+	h.config.Limits.Release(choice.Permit)
 	if err != nil {
 		result := h.noAnswer(ctx, j, choice, err)
 		h.ended(ctx, s, choice, nil, result, started)
@@ -189,7 +189,7 @@
 	header.Set(names.Instance, choice.Name())
 	j.request.Backend = pushback.Backend{ID: coordapi.BackendID(choice.ID), Pool: j.pool.Name}
 	j.request.Instance = choice.Name()
-	j.request.Right = choice.Right
+	j.request.Permit = choice.Permit
 	header.Set(names.Deadline, strconv.FormatInt(max((j.deadline-h.now()).Milliseconds(), 1), 10))
 	if s.lastEvent != "" {
 		header.Set(names.LastEvent, s.lastEvent)
--- a/internal/forward/choose.go
+++ b/internal/forward/choose.go
@@ -44,7 +44,7 @@
 		// The leader gives each another moment.
 		return j.room
 	}
-	back := h.config.Pool.RetryAfter(h.now(), &j.query)
+	back := h.config.Pool.RetryDelay(h.now(), &j.query)
 	if back < fullRetry {
 		return fullRetry
 	}
@@ -61,11 +61,11 @@
 	limit := h.now() + j.route.Target/waitDivisor
 	for {
 		choice, found := h.chooseOnce(ctx, j)
-		j.room = choice.Room
+		j.room = choice.RetryAfter
 		if found || j.tries() > 0 || h.now() > limit {
 			return choice, found
 		}
-		if h.now()+max(j.room, h.config.Pool.RetryAfter(h.now(), &j.query)) > limit {
+		if h.now()+max(j.room, h.config.Pool.RetryDelay(h.now(), &j.query)) > limit {
 			// All want nothing for longer than a request is held, or there is room for it
 			// only then.
 			return choice, false
@@ -108,19 +108,19 @@
 	for range maxClaims {
 		j.query.Draw = rand.Float64()
 		choice, found := h.config.Pool.Choose(h.now(), &j.query)
-		if !found && room == 0 && !j.query.IncludeLimited && h.config.Pool.RetryAfter(h.now(), &j.query) > 0 {
+		if !found && room == 0 && !j.query.IncludeLimited && h.config.Pool.RetryDelay(h.now(), &j.query) > 0 {
 			// All are full. The leader is asked all the same: rights come back to it, and it
 			// knows when there is room, behind the requests of all routers.
 			j.query.IncludeLimited = true
 			choice, found = h.config.Pool.Choose(h.now(), &j.query)
 		}
 		if !found || choice.Late || !h.config.Limits.Limited(coordapi.BackendID(choice.ID)) {
-			choice.Room = room
+			choice.RetryAfter = room
 			return choice, found
 		}
 		right, wait, at := h.claim(ctx, j, choice)
 		if right != nil {
-			choice.Right = right
+			choice.Permit = right
 			return choice, true
 		}
 		room = at
@@ -131,7 +131,7 @@
 			j.query.Tried = append(j.query.Tried, choice.ID)
 		}
 	}
-	return backends.Choice{Room: room}, false
+	return backends.Choice{RetryAfter: room}, false
 }
 
 // place asks for an engine. Answered is false when the router must choose by
@@ -149,13 +149,13 @@
 	}
 	// A leader that was replaced may not know what this router does, and no leader what
 	// a back end wants from it.
-	if h.config.Pool.Barred(choice.ID, j.query.Model, choice.Version) {
+	if h.config.Pool.Unavailable(choice.ID, j.query.Model, choice.Version) {
 		h.unplace(choice)
 		return choice, false, false
 	}
-	if choice.Right == nil && h.config.Limits.Limited(coordapi.BackendID(choice.ID)) {
+	if choice.Permit == nil && h.config.Limits.Limited(coordapi.BackendID(choice.ID)) {
 		// The leader does not know of the limit, or of its end: it is asked about that one.
-		if choice.Right, _, _ = h.claim(ctx, j, choice); choice.Right == nil {
+		if choice.Permit, _, _ = h.claim(ctx, j, choice); choice.Permit == nil {
 			h.unplace(choice)
 			return choice, false, false
 		}
@@ -166,7 +166,7 @@
 // unplace gives a placement up that nothing is sent for.
 func (h *Handler) unplace(choice backends.Choice) {
 	h.config.Placer.Ended(choice.Placement)
-	h.config.Limits.Release(choice.Right)
+	h.config.Limits.Release(choice.Permit)
 }
 
 // claim asks for the right to send to a back end that takes only so much. One that takes no
--- a/internal/forward/ratelimit_test.go
+++ b/internal/forward/ratelimit_test.go
@@ -42,14 +42,14 @@
 	c.asked.Add(1)
 	now := clock.Now()
 	c.bank.Observe(now, c.limits.TakeUnreported())
-	c.bank.Release(now, "r", c.limits.TakeReleased())
+	c.bank.Unused(now, "r", c.limits.Unused())
 	number := c.number.Add(1)
 	verdict := c.bank.Take(now, ratelimit.Request{Router: "r", Number: number, Backend: id, Claimant: q.Claimant})
 	switch {
 	case verdict.Unlimited:
-		return ratelimit.UnlimitedPermit(id), 0, 0
+		return ratelimit.Unlimited(id), 0, 0
 	case verdict.Granted:
-		return ratelimit.NewPermit(id, number, now, c.term), 0, 0
+		return ratelimit.Granted(id, number, now, c.term), 0, 0
 	}
 	return nil, verdict.Wait, c.bank.RetryAfter(now, q.Pool)
 }
--- a/internal/placer/limited.go
+++ b/internal/placer/limited.go
@@ -54,9 +54,9 @@
 // none is the choice for a request that found no engine. Kept says that one keeps its place
 // for others.
 func (p *Placer) none(now time.Duration, q *backends.Query, kept bool) backends.Choice {
-	if !kept && p.pool.RetryAfter(now, q) == 0 {
+	if !kept && p.pool.RetryDelay(now, q) == 0 {
 		// Limits are not why.
 		return backends.Choice{}
 	}
-	return backends.Choice{Room: p.limits.RetryAfter(now, q.Pool)}
+	return backends.Choice{RetryAfter: p.limits.RetryAfter(now, q.Pool)}
 }
--- a/internal/placer/limited_test.go
+++ b/internal/placer/limited_test.go
@@ -52,7 +52,7 @@
 		key := fmt.Sprint("key ", random.IntN(40))
 		placed := p.Place(now, short(number, key))
 		assert.Assert(t, placed.ID != "" && !placed.Late, "request %d", number)
-		assert.Equal(t, placed.Right > 0, placed.ID < "e002", "%s", placed.ID)
+		assert.Equal(t, placed.Permit > 0, placed.ID < "e002", "%s", placed.ID)
 		got[placed.ID]++
 		if at[key] == nil {
 			at[key] = map[string]bool{}
@@ -91,8 +91,8 @@
 			continue
 		}
 		refused++
-		assert.Assert(t, placed.Room > 0, "it is told when")
-		rooms[now+placed.Room]++
+		assert.Assert(t, placed.RetryAfter > 0, "it is told when")
+		rooms[now+placed.RetryAfter]++
 	}
 	assert.Assert(t, served >= 8*6*2*20/10, "%d of %d", served, 6*2*20)
 	for at, count := range rooms {
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -115,7 +115,7 @@
 	q := p.query(now, ask)
 	choice, found, right := p.choose(now, ask, q)
 	if !found {
-		return coordapi.Placed{Room: choice.Room}
+		return coordapi.Placed{RetryAfter: choice.RetryAfter}
 	}
 	if !choice.Late {
 		from := p.arrange(now, ask, q, &choice)
@@ -126,7 +126,7 @@
 		r.open[ask.Number] = &placement{a, from}
 	}
 	out := placed(&choice)
-	out.Right = right
+	out.Permit = right
 	return out
 }
 
@@ -264,6 +264,6 @@
 func Choice(ask *coordapi.Place, p *coordapi.Placed) (backends.Choice, bool) {
 	return backends.Choice{ID: p.ID, Instance: p.Instance, Address: p.Address, Zone: p.Zone, Version: p.Version, Versioned: p.Versioned, Home: p.Home,
 		Source: p.Source, Save: p.Save, Cost: p.Cost, Considered: p.Considered, Work: backends.Work{Prompt: p.Prompt, Most: ask.Most},
-		Ahead: p.Ahead, Wait: p.Wait, Late: p.Late, Placement: ask.Number, OverLimit: p.OverLimit, Uncounted: p.Uncounted, Room: p.Room,
+		Ahead: p.Ahead, Wait: p.Wait, Late: p.Late, Placement: ask.Number, OverLimit: p.OverLimit, Uncounted: p.Uncounted, RetryAfter: p.RetryAfter,
 		Blocked: p.Blocked}, p.ID != "" || p.OverLimit || len(p.Blocked) > 0
 }
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -260,8 +260,8 @@
 	}
 }
 
-// Counts is how many starts want nothing now, and how many of them drain.
-func (g *Registry) Counts() (waiting, draining int) {
+// Active is how many starts want nothing now, and how many of them drain.
+func (g *Registry) Active() (waiting, draining int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	// Who places at engines sweeps with each question; a router of plain back ends only
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -63,10 +63,10 @@
 	r := newRig()
 	r.answers("a", 503, headerRetryAfter, "3")
 	r.answers("b", 200, names.Draining, "1")
-	waiting, draining := r.Counts()
+	waiting, draining := r.Active()
 	assert.DeepEqual(t, []int{waiting, draining}, []int{1, 1})
 	r.now += 3 * time.Second
-	waiting, draining = r.Counts()
+	waiting, draining = r.Active()
 	assert.DeepEqual(t, []int{waiting, draining}, []int{0, 1})
 	assert.Equal(t, strings.Count(r.log.String(), "back end may be sent to again"), 1)
 }
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -90,9 +90,9 @@
 	b.known = true
 }
 
-// SetLimit sets one limit, in place of Set for all. A new bucket is empty: what was used before
+// Limit sets one limit, in place of Set for all. A new bucket is empty: what was used before
 // is not known.
-func (b *Limiter) SetLimit(now time.Duration, name string, limit Limit) {
+func (b *Limiter) Limit(now time.Duration, name string, limit Limit) {
 	a := b.accounts[name]
 	if a == nil {
 		a = &account{name: name, at: now}
@@ -202,8 +202,8 @@
 	Asked, Refused Amount
 }
 
-// Usage returns all limits, by name.
-func (b *Limiter) Usage(now time.Duration) []Usage {
+// Usages returns all limits, by name.
+func (b *Limiter) Usages(now time.Duration) []Usage {
 	var out []Usage
 	for _, a := range b.accounts {
 		if a.limit.Limited() {
--- a/internal/quota/retries.go
+++ b/internal/quota/retries.go
@@ -28,7 +28,7 @@
 		return false
 	}
 	part := Amount(lentPart * burst * share / depthParts)
-	r.bank.SetLimit(now, pool, Limit{Rate: part / Amount(window.Seconds()), Burst: max(part, 1)})
+	r.bank.Limit(now, pool, Limit{Rate: part / Amount(window.Seconds()), Burst: max(part, 1)})
 	_, granted := r.bank.Take(now, pool, 1)
 	return granted
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -170,7 +170,7 @@
 	}
 	b.sum(a.pool, before, w)
 	if w.limited {
-		b.quota.SetLimit(now, string(told.ID), quota.Limit{Rate: quota.Amount(w.granted())})
+		b.quota.Limit(now, string(told.ID), quota.Limit{Rate: quota.Amount(w.granted())})
 	} else {
 		b.quota.Forget(string(told.ID))
 	}
@@ -284,9 +284,9 @@
 	return max(p.returns-now, leastRoom)
 }
 
-// Release takes rights back with which nothing was sent, each once, and returns whose they
+// Unused takes rights back with which nothing was sent, each once, and returns whose they
 // were.
-func (b *Limiter) Release(now time.Duration, router string, numbers []uint64) (of []coordapi.BackendID) {
+func (b *Limiter) Unused(now time.Duration, router string, numbers []uint64) (of []coordapi.BackendID) {
 	if len(numbers) == 0 {
 		return nil
 	}
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -77,8 +77,8 @@
 			case !v.Granted:
 			case random.IntN(10) == 0:
 				back := []uint64{uint64(number)}
-				b.Release(now, "r", back)
-				b.Release(now, "r", back)
+				b.Unused(now, "r", back)
+				b.Unused(now, "r", back)
 			default:
 				// Used within its term, and on its way for a quarter of a second at most.
 				times = append(times, now+time.Duration(random.Int64N(int64(PermitTTL+250*time.Millisecond))))
@@ -113,11 +113,11 @@
 	b.Observe(0, limited("a", 1))
 	assert.Assert(t, b.Take(0, wish(1, "a")).Granted)
 	assert.Assert(t, !b.Take(0, wish(2, "a")).Granted)
-	b.Release(0, "other", []uint64{1})
+	b.Unused(0, "other", []uint64{1})
 	assert.Assert(t, !b.Take(0, wish(3, "a")).Granted, "another router's number")
-	b.Release(0, "r", []uint64{1, 1})
+	b.Unused(0, "r", []uint64{1, 1})
 	assert.Assert(t, b.Take(0, wish(4, "a")).Granted)
-	b.Release(0, "r", []uint64{1})
+	b.Unused(0, "r", []uint64{1})
 	assert.Assert(t, !b.Take(0, wish(5, "a")).Granted)
 	// One of a router that died comes back as the rate goes on.
 	v := b.Take(0, wish(6, "a"))
--- a/internal/ratelimit/permit.go
+++ b/internal/ratelimit/permit.go
@@ -24,12 +24,12 @@
 	spent atomic.Bool
 }
 
-// UnlimitedPermit returns a right to a start that names no limit, for all that the leader knows.
-func UnlimitedPermit(id coordapi.BackendID) *Permit { return &Permit{backend: id} }
+// Unlimited returns a right to a start that names no limit, for all that the leader knows.
+func Unlimited(id coordapi.BackendID) *Permit { return &Permit{backend: id} }
 
-// NewPermit returns a right that was asked for at a time by clock.Now, under a number, and
+// Granted returns a right that was asked for at a time by clock.Now, under a number, and
 // lasts for a term from then on: it may have been granted at any time since.
-func NewPermit(id coordapi.BackendID, number uint64, asked, term time.Duration) *Permit {
+func Granted(id coordapi.BackendID, number uint64, asked, term time.Duration) *Permit {
 	return &Permit{backend: id, number: number, until: asked + term}
 }
 
@@ -37,9 +37,9 @@
 func (v Verdict) Permit(id coordapi.BackendID, number uint64, asked time.Duration) *Permit {
 	switch {
 	case v.Unlimited:
-		return UnlimitedPermit(id)
+		return Unlimited(id)
 	case v.Granted:
-		return NewPermit(id, number, asked, PermitTTL)
+		return Granted(id, number, asked, PermitTTL)
 	}
 	return nil
 }
--- a/internal/ratelimit/registry.go
+++ b/internal/ratelimit/registry.go
@@ -230,9 +230,9 @@
 	}
 }
 
-// TakeReleased returns the numbers of the rights that were not used, since the last call. A nil
+// Unused returns the numbers of the rights that were not used, since the last call. A nil
 // register has none.
-func (g *Registry) TakeReleased() []uint64 {
+func (g *Registry) Unused() []uint64 {
 	if g == nil {
 		return nil
 	}
@@ -243,9 +243,9 @@
 	return out
 }
 
-// SetAnnounced takes the starts of which the leader says that they have a limit, in place of
+// Announced takes the starts of which the leader says that they have a limit, in place of
 // those that it named before. A nil register takes none.
-func (g *Registry) SetAnnounced(ids []coordapi.BackendID) {
+func (g *Registry) Announced(ids []coordapi.BackendID) {
 	if g == nil {
 		return
 	}
@@ -308,8 +308,8 @@
 	}
 }
 
-// LimitedCount is how many starts may be sent to with a right only.
-func (g *Registry) LimitedCount() int {
+// Active is how many starts may be sent to with a right only.
+func (g *Registry) Active() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	count := len(g.announced)
--- a/internal/ratelimit/registry_test.go
+++ b/internal/ratelimit/registry_test.go
@@ -45,7 +45,7 @@
 }
 
 func (r *rig) right(id string, number uint64) *Permit {
-	return NewPermit(coordapi.BackendID(id), number, r.now, PermitTTL)
+	return Granted(coordapi.BackendID(id), number, r.now, PermitTTL)
 }
 
 func TestOneThatNamesALimitIsSentToWithARightOnly(t *testing.T) {
@@ -68,7 +68,7 @@
 	assert.ErrorIs(t, r.Consume("a", old), ErrNoPermit, "too late")
 	r.answers("a", 200)
 	assert.NilError(t, r.Consume("a", nil))
-	assert.Equal(t, r.LimitedCount(), 0)
+	assert.Equal(t, r.Active(), 0)
 	for _, line := range []string{"back end names a limit", "back end names no limit any more"} {
 		assert.Equal(t, strings.Count(r.log.String(), "\""+line+"\""), 1, line)
 	}
@@ -129,11 +129,11 @@
 	r.Release(unused)
 	r.Release(unused)
 	r.Release(nil)
-	r.Release(UnlimitedPermit("a"))
+	r.Release(Unlimited("a"))
 	r.ReleaseNumbers(3)
 	assert.ErrorIs(t, r.Consume("a", unused), ErrNoPermit)
-	assert.DeepEqual(t, r.TakeReleased(), []uint64{2, 3})
-	assert.Equal(t, len(r.TakeReleased()), 0)
+	assert.DeepEqual(t, r.Unused(), []uint64{2, 3})
+	assert.Equal(t, len(r.Unused()), 0)
 
 	for range 200 {
 		right := r.right("a", 4)
@@ -148,7 +148,7 @@
 			group.Go(func() { r.Release(right) })
 		}
 		group.Wait()
-		assert.Equal(t, int(sent.Load())+len(r.TakeReleased()), 1)
+		assert.Equal(t, int(sent.Load())+len(r.Unused()), 1)
 	}
 }
 
@@ -172,18 +172,18 @@
 	r.Requeue([]coordapi.LimitWord{told["a"], told["b"], {ID: "unknown"}})
 	assert.Equal(t, len(r.TakeUnreported()), 2)
 	// A leader that says that there is none may only not know: it is told once more.
-	assert.NilError(t, r.Consume("a", UnlimitedPermit("a")))
+	assert.NilError(t, r.Consume("a", Unlimited("a")))
 	assert.Equal(t, len(r.TakeUnreported()), 1)
 }
 
 // Who has sent nothing to a back end yet hears of its limit from the leader.
 func TestWhatIsAnnouncedNeedsARightToo(t *testing.T) {
 	r := newRig()
-	r.SetAnnounced([]coordapi.BackendID{"a"})
+	r.Announced([]coordapi.BackendID{"a"})
 	assert.ErrorIs(t, r.Check("a", nil), ErrNoPermit)
-	assert.Equal(t, r.LimitedCount(), 1)
+	assert.Equal(t, r.Active(), 1)
 	r.answers("b", 200, names.Limit, "1")
-	r.SetAnnounced(nil)
+	r.Announced(nil)
 	assert.NilError(t, r.Check("a", nil))
 	assert.ErrorIs(t, r.Check("b", nil), ErrNoPermit, "it has said so itself")
 }
@@ -198,5 +198,5 @@
 	for i := range 3 * maxUnused {
 		r.ReleaseNumbers(uint64(i))
 	}
-	assert.Equal(t, len(r.TakeReleased()), maxUnused)
+	assert.Equal(t, len(r.Unused()), maxUnused)
 }
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -33,7 +33,7 @@
 	if err := a.pool.pushbacks.Check(r.Backend.ID); err != nil {
 		return &callError{mark: ErrNotSent, cause: err}
 	}
-	if err := a.pool.limits.Consume(r.Backend.ID, r.Right); err != nil {
+	if err := a.pool.limits.Consume(r.Backend.ID, r.Permit); err != nil {
 		return &callError{mark: ErrNotSent, cause: err}
 	}
 	sent := clock.Now()
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -77,8 +77,8 @@
 	// Backend is who the request is meant for, and Instance how it names that start.
 	Backend  pushback.Backend
 	Instance string
-	// Right is needed where the back end takes only so much from all machines; else nil.
-	Right *ratelimit.Permit
+	// Permit is needed where the back end takes only so much from all machines; else nil.
+	Permit *ratelimit.Permit
 	// NonIdempotent says that the request must not be sent over a connection that may
 	// be about to close.
 	NonIdempotent bool
@@ -195,7 +195,7 @@
 	if err := p.pushbacks.Check(r.Backend.ID); err != nil {
 		return nil, &callError{mark: ErrNotSent, cause: err}
 	}
-	if err := p.limits.Check(r.Backend.ID, r.Right); err != nil {
+	if err := p.limits.Check(r.Backend.ID, r.Permit); err != nil {
 		return nil, &callError{mark: ErrNotSent, cause: err}
 	}
 	c := p.take(address, r.NonIdempotent)
