--- a/internal/backends/restart.go
+++ b/internal/backends/restart.go
@@ -20,7 +20,7 @@
 		return
 	}
 	for _, r := range p.rows {
-		if r == successor || r.Name() != successor.Name() || r.Enrolled > successor.Enrolled {
+		if r == successor || r.Name() != successor.Name() || r.EnrolledRevision > successor.EnrolledRevision {
 			continue
 		}
 		for a := range r.open {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -30,9 +30,9 @@
 // Since returns the time since a reading of Now.
 func Since(at time.Duration) time.Duration { return Now() - at }
 
-// LogTrouble says at a process's start if the clock can't be read. The process works on,
+// LogIfUnavailable says at a process's start if the clock can't be read. The process works on,
 // with Now standing still during a suspension.
-func LogTrouble(logger *slog.Logger) {
+func LogIfUnavailable(logger *slog.Logger) {
 	if _, err := read(unix.CLOCK_BOOTTIME); err != nil {
 		logger.Error("suspension is not counted", "part", "clock", "error", err.Error())
 	}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,7 +12,7 @@
 
 func TestTheClockCountsSuspension(t *testing.T) {
 	var log strings.Builder
-	LogTrouble(slog.New(slog.NewTextHandler(&log, nil)))
+	LogIfUnavailable(slog.New(slog.NewTextHandler(&log, nil)))
 	assert.Equal(t, log.String(), "")
 	var boot unix.Timespec
 	assert.NilError(t, unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot))
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -109,7 +109,7 @@
 		_ = listener.Close()
 		return errors.Wrap(err, "listen for status")
 	}
-	clock.LogTrouble(s.logger)
+	clock.LogIfUnavailable(s.logger)
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	registry := telemetry.NewRegistry()
--- a/internal/coordinator/blocking.go
+++ b/internal/coordinator/blocking.go
@@ -95,7 +95,7 @@
 // follow takes the blocked requests in force. What was cleared is harmless as of now:
 // evidence from before may be told again.
 func (b *blocking) follow(now time.Duration, d *state.Deployment) {
-	if d.BlockedAt == b.seen {
+	if d.BlockedRevision == b.seen {
 		return
 	}
 	b.mu.Lock()
@@ -120,7 +120,7 @@
 			b.news = true
 		}
 	}
-	b.seen = d.BlockedAt
+	b.seen = d.BlockedRevision
 }
 
 // judge returns the requests that are to be blocked now, and whether the suspects
--- a/internal/coordinator/calls.go
+++ b/internal/coordinator/calls.go
@@ -359,7 +359,7 @@
 		v.Loads, v.PackedLoads, v.EngineLoads = mine.loads, mine.packed, sums.engines
 		v.LoadsAge = now - s.soft.told.toldAt
 	}
-	if d.Remembers(w.Since) && w.Shards <= shard.Count {
+	if d.HasChangesSince(w.Since) && w.Shards <= shard.Count {
 		step.fill(v, d, w.Since)
 	} else {
 		step.fillWhole(v, d)
--- a/internal/coordinator/limits.go
+++ b/internal/coordinator/limits.go
@@ -64,10 +64,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leasedUntil = leasedUntil
-	if l.bank == nil || leasedUntil == 0 || d.ConfiguredAt == l.configuredAt {
+	if l.bank == nil || leasedUntil == 0 || d.ConfigurationRevision == l.configuredAt {
 		return
 	}
-	l.configuredAt = d.ConfiguredAt
+	l.configuredAt = d.ConfigurationRevision
 	l.set(now, d.Document)
 }
 
--- a/internal/coordinator/limits_test.go
+++ b/internal/coordinator/limits_test.go
@@ -86,7 +86,7 @@
 	l := newLimits(settings.Coordinator{}, traffic.Parse, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	l.reset(true)
 	leasedUntil := time.Second
-	l.follow(0, leasedUntil, &state.Deployment{ConfiguredAt: 1, Document: []byte(replaceVersion(limitedTo200, 1))})
+	l.follow(0, leasedUntil, &state.Deployment{ConfigurationRevision: 1, Document: []byte(replaceVersion(limitedTo200, 1))})
 	ask := place(1).Place
 	ask.Tenant, ask.Amount = "a", 1e9
 	_, admitted, counted := l.take(leasedUntil-1, ask)
@@ -103,8 +103,8 @@
 func TestLimitsCountFromTheFirstLeaseOn(t *testing.T) {
 	l := newLimits(settings.Coordinator{}, traffic.Parse, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	l.reset(true)
-	l.follow(0, 0, &state.Deployment{ConfiguredAt: 1, Document: []byte(replaceVersion(unlimited, 1))})
-	l.follow(0, time.Minute, &state.Deployment{ConfiguredAt: 2, Document: []byte(replaceVersion(limitedTo200, 2))})
+	l.follow(0, 0, &state.Deployment{ConfigurationRevision: 1, Document: []byte(replaceVersion(unlimited, 1))})
+	l.follow(0, time.Minute, &state.Deployment{ConfigurationRevision: 2, Document: []byte(replaceVersion(limitedTo200, 2))})
 	ask := place(1).Place
 	ask.Tenant, ask.Amount = "a", 150
 	_, admitted, counted := l.take(0, ask)
@@ -116,8 +116,8 @@
 func TestLimitsThatCannotBeReadChangeNothing(t *testing.T) {
 	l := newLimits(settings.Coordinator{}, traffic.Parse, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	l.reset(true)
-	l.follow(0, time.Minute, &state.Deployment{ConfiguredAt: 1, Document: []byte(replaceVersion(limitedTo200, 1))})
-	l.follow(0, time.Minute, &state.Deployment{ConfiguredAt: 2, Document: []byte("torn")})
+	l.follow(0, time.Minute, &state.Deployment{ConfigurationRevision: 1, Document: []byte(replaceVersion(limitedTo200, 1))})
+	l.follow(0, time.Minute, &state.Deployment{ConfigurationRevision: 2, Document: []byte("torn")})
 	ask := place(1).Place
 	ask.Tenant, ask.Amount = "a", 1e9
 	_, admitted, _ := l.take(time.Second, ask)
--- a/internal/coordinator/members.go
+++ b/internal/coordinator/members.go
@@ -97,7 +97,7 @@
 		return raft.Change{Kind: raft.Promote, ID: ready}, true
 	}
 	for _, id := range members.Voters {
-		if id != status.ID && float64(status.Contact[id]) > lostAfter {
+		if id != status.ID && float64(status.SinceContact[id]) > lostAfter {
 			return raft.Change{Kind: raft.RemoveMember, ID: id}, true
 		}
 	}
@@ -107,7 +107,7 @@
 // readyLearner returns a learner that holds nearly the whole log, or 0.
 func readyLearner(status raft.Status) uint64 {
 	for _, id := range status.Membership.Learners {
-		if status.Match[id]+promotionSlack >= status.Last && float64(status.Contact[id]) < electionTimeout.Seconds() {
+		if status.Match[id]+promotionSlack >= status.LastIndex && float64(status.SinceContact[id]) < electionTimeout.Seconds() {
 			return id
 		}
 	}
@@ -148,7 +148,7 @@
 			known = append(known, address)
 		}
 	}
-	return !inside || (status.Leader == 0 && status.Last > 0), known
+	return !inside || (status.Leader == 0 && status.LastIndex > 0), known
 }
 
 func (s *Server) askToJoin(ctx context.Context, address string) {
--- a/internal/coordinator/orders.go
+++ b/internal/coordinator/orders.go
@@ -260,7 +260,7 @@
 	}
 	report, err := s.engines.Report(ctx, to)
 	s.settleRight(to, err)
-	if err == nil && !row.Start().Same(state.Start{Name: row.Name(), Born: report.Born}) {
+	if err == nil && !row.Start().Matches(state.Start{Name: row.Name(), Born: report.Born}) {
 		return EngineReport{}, ErrOtherInstance
 	}
 	return report, err
--- a/internal/coordinator/pools.go
+++ b/internal/coordinator/pools.go
@@ -19,10 +19,10 @@
 
 // followPools takes the pools of the configuration in force.
 func (s *Server) followPools(d *state.Deployment) {
-	if d.ConfiguredAt == s.pools.at {
+	if d.ConfigurationRevision == s.pools.at {
 		return
 	}
-	s.pools.at = d.ConfiguredAt
+	s.pools.at = d.ConfigurationRevision
 	table, err := s.decode(d.Document)
 	if err != nil {
 		// It was checked before it was committed. The pools before it stay.
--- a/internal/coordinator/returns.go
+++ b/internal/coordinator/returns.go
@@ -30,7 +30,7 @@
 // One that drains, or whose address another has by now, stays out. It returns the ID of its
 // new row.
 func (s *Server) returns(now time.Duration, d *state.Deployment, start state.Start, b *coordapi.Beat) (id string, back bool) {
-	if !d.IsGone(start) || b.Backend.Draining || s.soft.left[d.IDOf(start)] || s.soft.left[start.Name] || s.hasSuccessor(now, d, start, b.Backend.Address) {
+	if !d.HasDeparted(start) || b.Backend.Draining || s.soft.left[d.RowID(start)] || s.soft.left[start.Name] || s.hasSuccessor(now, d, start, b.Backend.Address) {
 		delete(s.soft.returning, start)
 		return "", false
 	}
@@ -52,7 +52,7 @@
 		return "", false
 	}
 	delete(s.soft.returning, start)
-	id = d.ReturnedID(start)
+	id = d.ReturnedRowID(start)
 	s.logger.Info("back end that was taken for gone is back", "part", "registry", "backend", id, "sequence", b.Sequence)
 	return id, true
 }
@@ -60,7 +60,7 @@
 // hasSuccessor tells whether there is another start of a back end, or another back end is
 // heard of at its address.
 func (s *Server) hasSuccessor(now time.Duration, d *state.Deployment, start state.Start, address string) bool {
-	if other, known := d.Current(start.Name); known && !start.Same(other.Start()) {
+	if other, known := d.Current(start.Name); known && !start.Matches(other.Start()) {
 		return true
 	}
 	holder, held := d.Backends[s.soft.holders[address]]
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -144,7 +144,7 @@
 		// A node without figures still takes part.
 		s.logger.Error("no figures", "part", "coordinator", "error", err.Error())
 	}
-	clock.LogTrouble(s.logger)
+	clock.LogIfUnavailable(s.logger)
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	s.group.Go(func() { s.run(ctx) })
--- a/internal/coordinator/soft.go
+++ b/internal/coordinator/soft.go
@@ -139,8 +139,8 @@
 // follows tells whether a back end took another's place: it enrolled later or, if that
 // is not known, was heard of later.
 func (t *softState) follows(b, other state.Backend) bool {
-	if b.Enrolled != other.Enrolled {
-		return b.Enrolled > other.Enrolled
+	if b.EnrolledRevision != other.EnrolledRevision {
+		return b.EnrolledRevision > other.EnrolledRevision
 	}
 	return t.beats[b.ID].at > t.beats[other.ID].at
 }
@@ -367,19 +367,19 @@
 
 // feedPlacer brings the placer what has changed.
 func (s *Server) feedPlacer(d *state.Deployment) {
-	if since := s.soft.placedAt; d.BackendsAt > since {
-		whole := !d.Remembers(since)
+	if since := s.soft.placedAt; d.BackendsRevision > since {
+		whole := !d.HasChangesSince(since)
 		if whole {
 			since = 0
 		}
-		rows, gone := d.Changed(since)
+		rows, gone := d.ChangedSince(since)
 		departed := make([]string, len(gone))
 		for i, departure := range gone {
 			departed[i] = departure.ID
 		}
 		s.backendLimits.Depart(departed)
 		s.placer.Apply(rows, departed, whole)
-		s.soft.placedAt = d.BackendsAt
+		s.soft.placedAt = d.BackendsRevision
 	}
 	if token := s.soft.token(); token != s.soft.placedNotes {
 		notes := s.rollout.notes
@@ -398,11 +398,11 @@
 		s.lookAtAll(now, d)
 		return
 	}
-	if d.BackendsAt <= s.soft.lookedAt {
+	if d.BackendsRevision <= s.soft.lookedAt {
 		return
 	}
-	rows, _ := d.Changed(s.soft.lookedAt)
-	s.soft.lookedAt = d.BackendsAt
+	rows, _ := d.ChangedSince(s.soft.lookedAt)
+	s.soft.lookedAt = d.BackendsRevision
 	before := s.soft.silent
 	if s.soft.lookAt(now, s.settings.BackendHeartbeat, rows, d.Backends) {
 		s.noteSilent(before)
@@ -412,7 +412,7 @@
 func (s *Server) lookAtAll(now time.Duration, d *state.Deployment) {
 	s.soft.forgetWatchers(now)
 	before := s.soft.silent
-	s.soft.lookedAt = d.BackendsAt
+	s.soft.lookedAt = d.BackendsRevision
 	gone := s.soft.look(now, s.settings.BackendHeartbeat, d.Backends)
 	s.soft.forgetStarts(d)
 	if !slices.Equal(before, s.soft.silent) {
--- a/internal/coordinator/soft_test.go
+++ b/internal/coordinator/soft_test.go
@@ -40,7 +40,7 @@
 func TestALateHeartbeatDoesNotReplaceASuccessor(t *testing.T) {
 	var soft softState
 	soft.reset(0)
-	rows := map[string]state.Backend{"old": {ID: "old", Address: "a:1", Enrolled: 4}, "new": {ID: "new", Address: "a:1", Enrolled: 9}}
+	rows := map[string]state.Backend{"old": {ID: "old", Address: "a:1", EnrolledRevision: 4}, "new": {ID: "new", Address: "a:1", EnrolledRevision: 9}}
 	soft.heard(1000*time.Millisecond, "old", 1)
 	soft.heard(2000*time.Millisecond, "new", 1)
 	soft.heard(2100*time.Millisecond, "old", 2)
--- a/internal/coordinator/starts.go
+++ b/internal/coordinator/starts.go
@@ -27,16 +27,16 @@
 // judge tells which start a word is of. A start that says it is older than the known one
 // is taken for newer once that one is silent: its clock may have been set back.
 func (s *Server) judge(now time.Duration, d *state.Deployment, start state.Start) startIs {
-	if d.IsGone(start) {
+	if d.HasDeparted(start) {
 		return older
 	}
 	known, is := s.present(d, start.Name)
 	switch {
-	case !is || start.Same(known):
+	case !is || start.Matches(known):
 		return present
 	case start.After(known):
 		return newer
-	case s.soft.quiet(now, d.IDOf(known)) > silentLimit(s.settings.BackendHeartbeat):
+	case s.soft.quiet(now, d.RowID(known)) > silentLimit(s.settings.BackendHeartbeat):
 		return newer
 	}
 	return older
@@ -68,7 +68,7 @@
 		// Who does not say when it started is taken for the start that is known.
 		start = known
 	}
-	return d.IDOf(start), true
+	return d.RowID(start), true
 }
 
 // noteStart takes a start for the present one of its back end, whose row has an ID.
@@ -78,8 +78,8 @@
 	if is && start.Born == 0 {
 		return
 	}
-	if is && !start.Same(known) {
-		s.logger.Info("back end started again", "part", "registry", "backend", id, "before", d.IDOf(known), "born", start.Born, "born_before", known.Born)
+	if is && !start.Matches(known) {
+		s.logger.Info("back end started again", "part", "registry", "backend", id, "before", d.RowID(known), "born", start.Born, "born_before", known.Born)
 	}
 	s.soft.starts[start.Name] = start
 }
--- a/internal/coordinator/step.go
+++ b/internal/coordinator/step.go
@@ -69,18 +69,18 @@
 
 // changedFor is the revision at which something that concerns a shard changed last.
 func (t *step) changedFor(d *state.Deployment, shard coordapi.Shard) uint64 {
-	return max(d.ConfiguredAt, d.BlockedAt, t.plainAt, t.shardsAt[shard.Index])
+	return max(d.ConfigurationRevision, d.BlockedRevision, t.plainAt, t.shardsAt[shard.Index])
 }
 
 // urgent tells whether the configuration or the blocked requests have changed, which no
 // router may hear of late.
 func (t *step) urgent(d *state.Deployment) bool {
-	return max(d.ConfiguredAt, d.BlockedAt) > t.revision
+	return max(d.ConfigurationRevision, d.BlockedRevision) > t.revision
 }
 
 // due tells whether a next step is, for a number of routers that follow.
 func (t *step) due(now time.Duration, d *state.Deployment, routers int) bool {
-	return t.urgent(d) || (d.BackendsAt > t.revision && now >= t.at+time.Duration(routers)*stepPerRouter)
+	return t.urgent(d) || (d.BackendsRevision > t.revision && now >= t.at+time.Duration(routers)*stepPerRouter)
 }
 
 // next moves on to a revision. It returns the shards whose routers have news, and whether
@@ -88,15 +88,15 @@
 func (t *step) next(now time.Duration, revision uint64, d *state.Deployment) (changed []int, all bool) {
 	before, urgent := t.revision, t.urgent(d)
 	t.revision, t.at, t.deltas = revision, now, map[uint64]*delta{}
-	if count := shardCount(d.Engines(), t.shards()); count != t.shards() {
+	if count := shardCount(d.EngineCount(), t.shards()); count != t.shards() {
 		t.shardsAt = slices.Repeat([]uint64{revision}, count)
 		t.plainAt = revision
 		return nil, true
 	}
-	if d.BackendsAt <= before {
+	if d.BackendsRevision <= before {
 		return nil, urgent
 	}
-	if !d.Remembers(before) {
+	if !d.HasChangesSince(before) {
 		t.plainAt = revision
 		return nil, true
 	}
@@ -145,7 +145,7 @@
 		return known
 	}
 	news := &delta{shards: make([]changes, t.shards())}
-	rows, gone := d.Changed(revision)
+	rows, gone := d.ChangedSince(revision)
 	for _, b := range rows {
 		c := news.of(b.IsEngine(), b.ID)
 		c.rows = append(c.rows, b)
@@ -177,10 +177,10 @@
 		mine.packed, _ = coordapi.Pack(rows)
 		v.PackedBackends = mine.packed
 	}
-	if d.ConfiguredAt > since {
+	if d.ConfigurationRevision > since {
 		t.fillDocument(v, d)
 	}
-	if d.BlockedAt > since {
+	if d.BlockedRevision > since {
 		v.Blocked = &coordapi.Blocked{Requests: d.Blocked}
 	}
 }
@@ -198,10 +198,10 @@
 		v.Document = d.Document
 		return
 	}
-	if t.documentAt != d.ConfiguredAt {
+	if t.documentAt != d.ConfigurationRevision {
 		// Encoding into memory cannot fail.
 		t.document, _ = coordapi.Pack(d.Document)
-		t.documentAt = d.ConfiguredAt
+		t.documentAt = d.ConfigurationRevision
 	}
 	v.PackedDocument = t.document
 }
--- a/internal/coordinator/step_test.go
+++ b/internal/coordinator/step_test.go
@@ -236,11 +236,11 @@
 func TestASuccessorIsFoundByItsRow(t *testing.T) {
 	var soft softState
 	soft.reset(0)
-	rows := map[string]state.Backend{"old": {ID: "old", Address: "a:1", Enrolled: 4}, "other": {ID: "other", Address: "b:1", Enrolled: 5}}
+	rows := map[string]state.Backend{"old": {ID: "old", Address: "a:1", EnrolledRevision: 4}, "other": {ID: "other", Address: "b:1", EnrolledRevision: 5}}
 	soft.heard(time.Second, "old", 1)
 	soft.heard(time.Second, "other", 1)
 	soft.look(1100*time.Millisecond, time.Second, rows)
-	next := state.Backend{ID: "new", Address: "a:1", Enrolled: 9}
+	next := state.Backend{ID: "new", Address: "a:1", EnrolledRevision: 9}
 	rows["new"] = next
 	soft.heard(1200*time.Millisecond, "new", 1)
 	assert.Assert(t, soft.lookAt(1200*time.Millisecond, time.Second, []state.Backend{next}, rows))
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -212,7 +212,7 @@
 func (d *Dispatcher) attempt(ctx context.Context, job *Job, decision scheduling.Decision, p *progress, sink Sink) error {
 	endpoint := decision.Endpoint
 	missing := job.Place.PromptTokens - decision.ExpectedCached
-	d.config.Pool.Dispatched(d.config.Now(), endpoint.ID, missing)
+	d.config.Pool.RecordDispatch(d.config.Now(), endpoint.ID, missing)
 	job.Span.Step("placed", endpoint.ID)
 	var err error
 	resumable := job.Resume != nil
@@ -241,12 +241,12 @@
 	var refusal *RefusalError
 	switch {
 	case err == nil:
-		d.config.Pool.Succeeded(endpoint.ID)
+		d.config.Pool.RecordSuccess(endpoint.ID)
 	case isCallerError(err) || errors.Is(err, context.Canceled):
 	case errors.As(err, &refusal):
 		d.noteRefusal(endpoint, refusal)
 	default:
-		d.config.Pool.Failed(d.config.Now(), endpoint.ID)
+		d.config.Pool.RecordFailure(d.config.Now(), endpoint.ID)
 		d.config.Logger.Debug("attempt failed", "engine", endpoint.ID, "stage", stage.String(), "error", err)
 	}
 }
@@ -254,8 +254,8 @@
 func (d *Dispatcher) noteRefusal(endpoint *scheduling.Endpoint, refusal *RefusalError) {
 	switch refusal.Kind {
 	case engineapi.KindDraining:
-		d.config.Pool.Draining(endpoint.ID)
+		d.config.Pool.MarkDraining(endpoint.ID)
 	case engineapi.KindIncarnation:
-		d.config.Pool.Replaced(endpoint.ID, endpoint.Incarnation)
+		d.config.Pool.MarkReplaced(endpoint.ID, endpoint.Incarnation)
 	}
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -89,7 +89,7 @@
 
 // Start opens the listeners and begins to follow the coordinators.
 func (e *Edge) Start() error {
-	clock.LogTrouble(e.logger)
+	clock.LogIfUnavailable(e.logger)
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
 	e.group.Go(func() { e.follower.Run(ctx) })
--- a/internal/experiment/engines.go
+++ b/internal/experiment/engines.go
@@ -59,7 +59,7 @@
 	load := e.load()
 	wait := time.Duration(float64(load.PrefillTokens) / prefillRate * float64(time.Second))
 	if excess := load.Running + load.Waiting - e.slots; excess > 0 {
-		wait += membership.TypicalService * time.Duration(excess) / time.Duration(e.slots)
+		wait += membership.TypicalServiceTime * time.Duration(excess) / time.Duration(e.slots)
 	}
 	return wait
 }
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -237,7 +237,7 @@
 		return
 	}
 	e := s.byID[decision.Endpoint.ID]
-	router.pool.Dispatched(s.now(), e.id, f.place.PromptTokens-decision.ExpectedCached)
+	router.pool.RecordDispatch(s.now(), e.id, f.place.PromptTokens-decision.ExpectedCached)
 	s.queue.After(2*hop, func() { s.deliver(f, e) })
 }
 
@@ -277,7 +277,7 @@
 
 // failed places a request again after its engine was lost.
 func (s *simulation) failed(f *flight, e *simulatedEngine) {
-	s.routers[f.router].pool.Failed(s.now(), e.id)
+	s.routers[f.router].pool.RecordFailure(s.now(), e.id)
 	if !slices.Contains(f.place.Excluded, e.id) {
 		f.place.Excluded = append(f.place.Excluded, e.id)
 	}
@@ -287,7 +287,7 @@
 // answered tells the router that an answer is whole.
 func (s *simulation) answered(f *flight, engine string) {
 	router := s.routers[f.router]
-	router.pool.Succeeded(engine)
+	router.pool.RecordSuccess(engine)
 	s.metrics.answered()
 	if s.random.Float64() >= s.options.Conditions.HintLoss {
 		router.policy.Answered(s.now(), &f.place, engine, f.cached)
--- a/internal/forward/restart_test.go
+++ b/internal/forward/restart_test.go
@@ -21,7 +21,7 @@
 
 // restart tells the router that a back end has started again under its name, elsewhere.
 func (r *rig) restart(pool, name, address string) {
-	r.pool.Apply([]state.Backend{{ID: name + "~2", Instance: name, Born: 2, Enrolled: 2, Pool: pool, Address: address, Zone: "a"}}, []string{name}, false)
+	r.pool.Apply([]state.Backend{{ID: name + "~2", Instance: name, Born: 2, EnrolledRevision: 2, Pool: pool, Address: address, Zone: "a"}}, []string{name}, false)
 }
 
 // Requests at a start that is over are known to be over when its successor is heard of,
--- a/internal/gateway/application.go
+++ b/internal/gateway/application.go
@@ -206,16 +206,16 @@
 	request.Header.Set("Request-Key", r.header.Get(headerIdempotencyKey))
 	response, err := g.workers.Do(request)
 	if err != nil {
-		g.config.Pool.Failed(g.config.Now(), worker.ID)
+		g.config.Pool.RecordFailure(g.config.Now(), worker.ID)
 		return answer{}, errors.Wrap(err, "call worker")
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
 	if err != nil {
-		g.config.Pool.Failed(g.config.Now(), worker.ID)
+		g.config.Pool.RecordFailure(g.config.Now(), worker.ID)
 		return answer{}, errors.Wrap(err, "read worker's answer")
 	}
-	g.config.Pool.Succeeded(worker.ID)
+	g.config.Pool.RecordSuccess(worker.ID)
 	return answer{response.StatusCode, response.Header.Get("Content-Type"), body}, nil
 }
 
--- a/internal/membership/pool.go
+++ b/internal/membership/pool.go
@@ -21,8 +21,8 @@
 	staleReport = 3 * time.Second
 	// ReportLag is how old a load report already is when control gets it.
 	ReportLag = 250 * time.Millisecond
-	// TypicalService is the assumed time that a sequence holds a decode slot.
-	TypicalService = 700 * time.Millisecond
+	// TypicalServiceTime is the assumed time that a sequence holds a decode slot.
+	TypicalServiceTime = 700 * time.Millisecond
 )
 
 // dispatch is work that the router sent and that no report counts yet.
@@ -110,8 +110,8 @@
 	e.recent = kept
 }
 
-// Dispatched notes that work of so many uncached tokens was sent to a machine.
-func (p *Pool) Dispatched(now time.Duration, id string, tokens int) {
+// RecordDispatch notes that work of so many uncached tokens was sent to a machine.
+func (p *Pool) RecordDispatch(now time.Duration, id string, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e := p.entries[id]; e != nil {
@@ -119,8 +119,8 @@
 	}
 }
 
-// Failed notes that an attempt could not reach a machine or lost it.
-func (p *Pool) Failed(now time.Duration, id string) {
+// RecordFailure notes that an attempt could not reach a machine or lost it.
+func (p *Pool) RecordFailure(now time.Duration, id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := p.entries[id]
@@ -132,8 +132,8 @@
 	e.suspect = now + min(pause, longestSuspicion)
 }
 
-// Succeeded notes that a machine answered.
-func (p *Pool) Succeeded(id string) {
+// RecordSuccess notes that a machine answered.
+func (p *Pool) RecordSuccess(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e := p.entries[id]; e != nil {
@@ -141,8 +141,8 @@
 	}
 }
 
-// Draining notes that a machine itself refused new work because it is leaving.
-func (p *Pool) Draining(id string) {
+// MarkDraining notes that a machine itself refused new work because it is leaving.
+func (p *Pool) MarkDraining(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e := p.entries[id]; e != nil {
@@ -150,9 +150,9 @@
 	}
 }
 
-// Replaced notes that a machine was found in another incarnation. It is not
+// MarkReplaced notes that a machine was found in another incarnation. It is not
 // used until control tells the new one.
-func (p *Pool) Replaced(id, incarnation string) {
+func (p *Pool) MarkReplaced(id, incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := p.entries[id]
@@ -198,7 +198,7 @@
 	slots := max(e.machine.DecodeSlots, 1)
 	wait := time.Duration(float64(waiting) / p.prefillRate(e.machine.Model) * float64(time.Second))
 	if excess := sequences - slots; excess > 0 {
-		wait += TypicalService * time.Duration(excess) / time.Duration(slots)
+		wait += TypicalServiceTime * time.Duration(excess) / time.Duration(slots)
 	}
 	return scheduling.Endpoint{
 		ID:             e.machine.ID,
--- a/internal/membership/pool_test.go
+++ b/internal/membership/pool_test.go
@@ -29,7 +29,7 @@
 
 func TestOwnWorkCountsUntilAReportDoes(t *testing.T) {
 	p := newPool(machine("e", "one", false))
-	p.Dispatched(time.Second, "e", 500)
+	p.RecordDispatch(time.Second, "e", 500)
 	assert.Equal(t, p.Snapshot(time.Second).Endpoints[0].Wait, 500*time.Millisecond)
 	// A report of what was true before the work was sent does not count it.
 	p.SetLoad(1200*time.Millisecond, "e", controlapi.LoadRow{})
@@ -41,12 +41,12 @@
 func TestSuspicionGrowsAndEnds(t *testing.T) {
 	p := newPool(machine("e", "one", false))
 	assert.Equal(t, state(p, 0), scheduling.Live)
-	p.Failed(0, "e")
+	p.RecordFailure(0, "e")
 	assert.Equal(t, state(p, firstSuspicion-1), scheduling.Suspect)
 	assert.Equal(t, state(p, firstSuspicion), scheduling.Live)
-	p.Failed(firstSuspicion, "e")
+	p.RecordFailure(firstSuspicion, "e")
 	assert.Equal(t, state(p, 2*firstSuspicion), scheduling.Suspect)
-	p.Succeeded("e")
+	p.RecordSuccess("e")
 	assert.Equal(t, state(p, 2*firstSuspicion), scheduling.Live)
 }
 
@@ -61,7 +61,7 @@
 
 func TestLeavingEnginesComeBack(t *testing.T) {
 	p := newPool(machine("e", "one", false))
-	p.Draining("e") // by its own word, before control tells
+	p.MarkDraining("e") // by its own word, before control tells
 	assert.Equal(t, state(p, 0), scheduling.Leaving)
 	p.SetMachines([]controlapi.Machine{machine("e", "one", false)}) // control does not know yet
 	assert.Equal(t, state(p, 0), scheduling.Leaving)
@@ -85,7 +85,7 @@
 
 func TestAReplacedIncarnationWaitsForControl(t *testing.T) {
 	p := newPool(machine("e", "one", false))
-	p.Replaced("e", "one")
+	p.MarkReplaced("e", "one")
 	assert.Equal(t, len(p.Snapshot(0).Endpoints), 0)
 	p.SetMachines([]controlapi.Machine{machine("e", "two", false)})
 	assert.Equal(t, p.Snapshot(0).Endpoints[0].Incarnation, "two")
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -116,7 +116,7 @@
 func (n *Node) becomeLeader() {
 	n.role = Leader
 	n.leader = n.config.ID
-	n.hard.Led = n.hard.Term
+	n.hard.LedTerm = n.hard.Term
 	n.transferring = 0
 	n.progress = map[uint64]*progress{}
 	for _, id := range n.others() {
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// Stored is what a node finds on its disk at start.
-type Stored struct {
+// StoredState is what a node finds on its disk at start.
+type StoredState struct {
 	HardState HardState
 	// Snapshot is nil when there is none.
 	Snapshot *Snapshot
@@ -118,7 +118,7 @@
 // NewNode returns a node that starts at now with what its disk held. It stays
 // silent towards candidates for one election timeout: it may have promised a
 // lease before it stopped.
-func NewNode(config Config, stored Stored, now time.Duration) (*Node, error) {
+func NewNode(config Config, stored StoredState, now time.Duration) (*Node, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
@@ -139,7 +139,7 @@
 	}
 	n.leaderHeard = now
 	n.resetElection()
-	if n.hard.Led != 0 && n.hard.Led == n.hard.Term && n.members.IsVoter(config.ID) {
+	if n.hard.LedTerm != 0 && n.hard.LedTerm == n.hard.Term && n.members.IsVoter(config.ID) {
 		n.campaign(returned)
 	}
 	return n, nil
@@ -232,7 +232,7 @@
 		return 0, ErrNotLeader
 	}
 	if n.log.last()-n.log.commit >= maxUncommitted {
-		return 0, ErrBacklog
+		return 0, ErrTooManyUncommitted
 	}
 	return n.appendEntry(EntryCommand, data), nil
 }
@@ -267,7 +267,7 @@
 // need not be durable: it is learned again. It is saved along with entries, as
 // a check that the log was not cut.
 func (n *Node) mustSave() bool {
-	return n.hard.Term != n.saved.Term || n.hard.Vote != n.saved.Vote || n.hard.Led != n.saved.Led
+	return n.hard.Term != n.saved.Term || n.hard.Vote != n.saved.Vote || n.hard.LedTerm != n.saved.LedTerm
 }
 
 // Ready returns the work at hand. The caller does it and calls Advance before
@@ -335,13 +335,13 @@
 // Status returns a view of the node.
 func (n *Node) Status() Status {
 	s := Status{ID: n.config.ID, Role: n.role, Term: n.hard.Term, Leader: n.leader, Commit: n.log.commit,
-		Applied: n.log.applied, Last: n.log.last(), First: n.log.offset + 1, Membership: n.members.Clone()}
+		Applied: n.log.applied, LastIndex: n.log.last(), FirstIndex: n.log.offset + 1, Membership: n.members.Clone()}
 	if n.role == Leader {
 		s.Match = map[uint64]uint64{}
-		s.Contact = map[uint64]Duration{}
+		s.SinceContact = map[uint64]ElapsedSeconds{}
 		for id, p := range n.progress {
 			s.Match[id] = p.match
-			s.Contact[id] = Duration((n.now - p.heard).Seconds())
+			s.SinceContact[id] = ElapsedSeconds((n.now - p.heard).Seconds())
 		}
 	}
 	return s
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -28,7 +28,7 @@
 
 func (g *group) add(id uint64, initial Membership) *Node {
 	n, err := NewNode(Config{ID: id, ElectionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond,
-		LeaseDuration: 800 * time.Millisecond, Random: rand.New(rand.NewPCG(id, 1))}, Stored{Initial: initial}, g.now)
+		LeaseDuration: 800 * time.Millisecond, Random: rand.New(rand.NewPCG(id, 1))}, StoredState{Initial: initial}, g.now)
 	assert.NilError(g.t, err)
 	g.nodes[id] = n
 	return n
@@ -180,11 +180,11 @@
 	}
 	applied := leader.Status().Applied
 	leader.Compact(&Snapshot{Index: applied, Term: leader.Term(applied), Membership: leader.MembershipAt(applied)})
-	assert.Assert(t, leader.Status().First > 1)
+	assert.Assert(t, leader.Status().FirstIndex > 1)
 	g.cut[behind.Status().ID] = false
 	g.pass(5 * time.Second)
 	assert.Equal(t, behind.Status().Applied, leader.Status().Applied)
-	assert.Assert(t, behind.Status().First > 1)
+	assert.Assert(t, behind.Status().FirstIndex > 1)
 }
 
 func TestLeadershipIsHandedOver(t *testing.T) {
@@ -210,7 +210,7 @@
 // restart stops a node and starts it from what its disk held.
 func (g *group) restart(id uint64) *Node {
 	old := g.nodes[id]
-	n, err := NewNode(old.config, Stored{HardState: old.saved, Entries: old.Stable(), Initial: old.changes[0].members}, g.now)
+	n, err := NewNode(old.config, StoredState{HardState: old.saved, Entries: old.Stable(), Initial: old.changes[0].members}, g.now)
 	assert.NilError(g.t, err)
 	g.nodes[id] = n
 	return n
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -88,7 +88,7 @@
 }
 
 func (n *Node) handleAppend(m Message) {
-	reply := Message{Type: MessageAppendReply, To: m.From, Sent: m.Sent}
+	reply := Message{Type: MessageAppendReply, To: m.From, SentAt: m.SentAt}
 	if m.Index < n.log.commit {
 		// The leader is behind on what this node holds: all up to the commit
 		// index matches any leader's log.
@@ -124,12 +124,12 @@
 // what the follower has matched.
 func (n *Node) handleHeartbeat(m Message) {
 	n.log.commit = max(n.log.commit, min(m.Commit, n.log.last()))
-	n.send(Message{Type: MessageHeartbeatReply, To: m.From, Sent: m.Sent, Index: n.log.last()})
+	n.send(Message{Type: MessageHeartbeatReply, To: m.From, SentAt: m.SentAt, Index: n.log.last()})
 }
 
 func (n *Node) handleSnapshot(m Message) {
 	s := m.Snapshot
-	reply := Message{Type: MessageAppendReply, To: m.From, Sent: m.Sent}
+	reply := Message{Type: MessageAppendReply, To: m.From, SentAt: m.SentAt}
 	if s.Index <= n.log.commit {
 		reply.Index = n.log.commit
 		n.send(reply)
@@ -146,7 +146,7 @@
 func (n *Node) broadcastHeartbeat() {
 	for _, id := range n.others() {
 		p := n.progress[id]
-		n.send(Message{Type: MessageHeartbeat, To: id, Commit: min(p.match, n.log.commit), Sent: n.now})
+		n.send(Message{Type: MessageHeartbeat, To: id, Commit: min(p.match, n.log.commit), SentAt: n.now})
 		if p.probing && n.now >= p.resendAt {
 			p.inflight = 0
 			p.snapshotAt = 0
@@ -169,7 +169,7 @@
 	}
 	entries := n.log.slice(p.next, maxEntriesPerMessage)
 	n.send(Message{Type: MessageAppend, To: id, Index: previous, LogTerm: term, Entries: entries,
-		Commit: n.log.commit, Sent: n.now})
+		Commit: n.log.commit, SentAt: n.now})
 	p.inflight++
 	p.resendAt = n.now + n.config.ElectionTimeout
 	if !p.probing {
@@ -184,7 +184,7 @@
 	p.snapshotAt = n.snapshot.Index
 	p.probing = true
 	p.resendAt = n.now + 4*n.config.ElectionTimeout
-	n.send(Message{Type: MessageInstallSnapshot, To: id, Snapshot: n.snapshot, Sent: n.now})
+	n.send(Message{Type: MessageInstallSnapshot, To: id, Snapshot: n.snapshot, SentAt: n.now})
 }
 
 func (n *Node) handleAppendReply(m Message) {
@@ -241,7 +241,7 @@
 	}
 	p.heard = n.now
 	if !m.Reject {
-		p.echoed = max(p.echoed, m.Sent)
+		p.echoed = max(p.echoed, m.SentAt)
 	}
 	return p
 }
@@ -267,7 +267,7 @@
 	for _, id := range n.others() {
 		p := n.progress[id]
 		if p.match >= index {
-			n.send(Message{Type: MessageHeartbeat, To: id, Commit: index, Sent: n.now})
+			n.send(Message{Type: MessageHeartbeat, To: id, Commit: index, SentAt: n.now})
 		}
 	}
 	n.stepDownIfRemoved()
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -32,8 +32,8 @@
 	ErrUnknownMember = errors.New("no such member")
 	// ErrLastVoter is returned when the last voter would be removed.
 	ErrLastVoter = errors.New("the last voter cannot be removed")
-	// ErrBacklog is returned when too many entries wait for commitment.
-	ErrBacklog = errors.New("too many entries wait for commitment")
+	// ErrTooManyUncommitted is returned when too many entries wait for commitment.
+	ErrTooManyUncommitted = errors.New("too many entries wait for commitment")
 )
 
 // EntryKind tells what an entry's data is.
@@ -63,9 +63,9 @@
 	Term   uint64 `json:"term"`
 	Vote   uint64 `json:"vote"`
 	Commit uint64 `json:"commit"`
-	// Led is the last term that the node led. A vote for itself would not do in
+	// LedTerm is the last term that the node led. A vote for itself would not do in
 	// its place: another may have won that term.
-	Led uint64 `json:"led,omitempty"`
+	LedTerm uint64 `json:"led,omitempty"`
 }
 
 // Membership lists the members of the group.
@@ -162,9 +162,9 @@
 	Reject  bool    `json:"reject,omitempty"`
 	// Hint is the follower's last index in a rejected append reply.
 	Hint uint64 `json:"hint,omitempty"`
-	// Sent is the leader's clock when it sent a heartbeat or append. Replies
+	// SentAt is the leader's clock when it sent a heartbeat or append. Replies
 	// echo it. Only the leader that set it reads it.
-	Sent time.Duration `json:"sent,omitempty"`
+	SentAt time.Duration `json:"sent,omitempty"`
 	// Transfer says that no lease is running that the voter must mind: the
 	// leader hands over, or it is the candidate itself after a new start.
 	Transfer bool      `json:"transfer,omitempty"`
@@ -200,18 +200,18 @@
 
 // Status is a view of a node for people and metrics.
 type Status struct {
-	ID         uint64              `json:"id"`
-	Role       Role                `json:"role"`
-	Term       uint64              `json:"term"`
-	Leader     uint64              `json:"leader"`
-	Commit     uint64              `json:"commit"`
-	Applied    uint64              `json:"applied"`
-	Last       uint64              `json:"last"`
-	First      uint64              `json:"first"`
-	Membership Membership          `json:"membership"`
-	Match      map[uint64]uint64   `json:"match,omitempty"`
-	Contact    map[uint64]Duration `json:"contact,omitempty"`
+	ID           uint64                    `json:"id"`
+	Role         Role                      `json:"role"`
+	Term         uint64                    `json:"term"`
+	Leader       uint64                    `json:"leader"`
+	Commit       uint64                    `json:"commit"`
+	Applied      uint64                    `json:"applied"`
+	LastIndex    uint64                    `json:"last"`
+	FirstIndex   uint64                    `json:"first"`
+	Membership   Membership                `json:"membership"`
+	Match        map[uint64]uint64         `json:"match,omitempty"`
+	SinceContact map[uint64]ElapsedSeconds `json:"contact,omitempty"`
 }
 
-// Duration is a time since an event, in seconds in JSON.
-type Duration float64
+// ElapsedSeconds is a time since an event, in seconds in JSON.
+type ElapsedSeconds float64
--- a/internal/router/rollout.go
+++ b/internal/router/rollout.go
@@ -69,7 +69,7 @@
 	var durable agent.Durable
 	if data := o.file.Content(); len(data) > 0 {
 		if err := json.Unmarshal(data, &durable); err != nil {
-			return nil, errors.Wrapf(storage.ErrDamaged, "%s: %v", stateName, err)
+			return nil, errors.Wrapf(storage.ErrCorrupt, "%s: %v", stateName, err)
 		}
 	}
 	self := state.Router{Name: r.settings.Name, Region: r.settings.Region, Zone: r.settings.Zone, Peer: r.settings.PeerListen}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -60,7 +60,7 @@
 	r.peers = peer.NewClient(r.counters)
 	r.control = controlclient.New(r.peers, config.Control)
 	r.claims = claims.New(r.control)
-	clock.LogTrouble(r.logger)
+	clock.LogIfUnavailable(r.logger)
 	clock := newClock()
 	directory := scheduling.NewDirectory()
 	policies := newPolicies(r.board, directory)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -137,7 +137,7 @@
 	}
 	messages, err := n.core.Pump(n.clock())
 	if err != nil {
-		if !errors.Is(err, errKilled) && !errors.Is(err, storage.ErrDamaged) {
+		if !errors.Is(err, errKilled) && !errors.Is(err, storage.ErrCorrupt) {
 			n.world.checks.fail("%s: %v", n.name, err)
 			return
 		}
--- a/internal/state/blocked.go
+++ b/internal/state/blocked.go
@@ -50,7 +50,7 @@
 	if len(d.Blocked) > rememberedBlocked {
 		d.Blocked = d.Blocked[1:]
 	}
-	d.BlockedAt = index
+	d.BlockedRevision = index
 	return Result{Code: CodeOK}
 }
 
@@ -64,7 +64,7 @@
 	if len(d.Cleared) > rememberedCleared {
 		d.Cleared = d.Cleared[1:]
 	}
-	d.BlockedAt = index
+	d.BlockedRevision = index
 	return Result{Code: CodeOK}
 }
 
--- a/internal/state/decode.go
+++ b/internal/state/decode.go
@@ -6,10 +6,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrLaterBuild marks a command that this build does not know. Passing it over would make
+// ErrUnsupportedCommand marks a command that this build does not know. Passing it over would make
 // this replica differ from those that know it; it stops before the entry instead, and
 // goes on with a build that does.
-var ErrLaterBuild = errors.New("the command is of a later build")
+var ErrUnsupportedCommand = errors.New("the command is of a later build")
 
 // decodeCommand reads an entry's command, an empty one as none.
 func decodeCommand(text []byte) (*Command, error) {
@@ -30,7 +30,7 @@
 	delete(fields, "request_id")
 	delete(fields, "at")
 	for name := range fields {
-		return nil, errors.Wrapf(ErrLaterBuild, "%.64q", name)
+		return nil, errors.Wrapf(ErrUnsupportedCommand, "%.64q", name)
 	}
 	return c, nil
 }
--- a/internal/state/deployment.go
+++ b/internal/state/deployment.go
@@ -46,8 +46,8 @@
 	Orders int `json:"orders,omitempty"`
 	// Revision is the log index of the row's last change, and Enrolled of its first: of
 	// two back ends at one address the later one took the other's place.
-	Revision uint64 `json:"revision"`
-	Enrolled uint64 `json:"enrolled,omitempty"`
+	Revision         uint64 `json:"revision"`
+	EnrolledRevision uint64 `json:"enrolled,omitempty"`
 }
 
 // IsEngine tells a model engine from a plain back end.
@@ -98,24 +98,24 @@
 	// none.
 	Version  uint64          `json:"version,omitempty"`
 	Document json.RawMessage `json:"document,omitempty"`
-	// ConfiguredAt, WeightsAt and BackendsAt are the log indexes of the last
+	// ConfigurationRevision, WeightsAt and BackendsAt are the log indexes of the last
 	// changes.
-	ConfiguredAt uint64             `json:"configured_at,omitempty"`
-	WeightsAt    uint64             `json:"weights_at,omitempty"`
-	BackendsAt   uint64             `json:"backends_at,omitempty"`
-	Weights      []WeightsVersion   `json:"weights,omitempty"`
-	Backends     map[string]Backend `json:"backends,omitempty"`
-	Departed     []Departure        `json:"departed,omitempty"`
-	// ForgottenAt is the revision up to which departures were forgotten.
-	ForgottenAt uint64 `json:"forgotten_at,omitempty"`
+	ConfigurationRevision uint64             `json:"configured_at,omitempty"`
+	WeightsRevision       uint64             `json:"weights_at,omitempty"`
+	BackendsRevision      uint64             `json:"backends_at,omitempty"`
+	Weights               []WeightsVersion   `json:"weights,omitempty"`
+	Backends              map[string]Backend `json:"backends,omitempty"`
+	Departed              []Departure        `json:"departed,omitempty"`
+	// CompactedRevision is the revision up to which departures were forgotten.
+	CompactedRevision uint64 `json:"forgotten_at,omitempty"`
 	// Holder gave the last order to a back end.
 	Holder string `json:"holder,omitempty"`
 	// Blocked are the requests that are kept from back ends, Cleared those that were
 	// until lately, and BlockedAt the log index of the last change of both.
-	Blocked   []BlockedRequest `json:"blocked,omitempty"`
-	Cleared   []ClearedRequest `json:"cleared,omitempty"`
-	BlockedAt uint64           `json:"blocked_at,omitempty"`
-	order     rowOrder
+	Blocked         []BlockedRequest `json:"blocked,omitempty"`
+	Cleared         []ClearedRequest `json:"cleared,omitempty"`
+	BlockedRevision uint64           `json:"blocked_at,omitempty"`
+	order           rowOrder
 }
 
 func (d *Deployment) init() {
@@ -128,7 +128,7 @@
 func (m *Machine) configure(index uint64, c *Configure) Result {
 	d := &m.data.Deployment
 	if c.Version > d.Version {
-		d.Version, d.Document, d.ConfiguredAt = c.Version, c.Document, index
+		d.Version, d.Document, d.ConfigurationRevision = c.Version, c.Document, index
 	}
 	return Result{Code: CodeOK, Version: d.Version}
 }
@@ -141,7 +141,7 @@
 		}
 	}
 	d.Weights = append(d.Weights, WeightsVersion{Model: n.Model, Version: n.Version, Revision: index})
-	d.WeightsAt = index
+	d.WeightsRevision = index
 	return Result{Code: CodeOK}
 }
 
@@ -157,17 +157,17 @@
 	if d.departed(b.ID) {
 		return
 	}
-	b.Enrolled = index
+	b.EnrolledRevision = index
 	if old, known := d.Backends[b.ID]; known {
 		b.Draining = b.Draining || old.Draining
-		b.Enrolled = old.Enrolled
+		b.EnrolledRevision = old.EnrolledRevision
 	}
 	b.Revision = index
 	d.order.count(d.Backends[b.ID], -1)
 	d.order.count(b, 1)
 	d.Backends[b.ID] = b
 	d.order.found(d, b)
-	d.BackendsAt = index
+	d.BackendsRevision = index
 	d.order.changed(d, b.ID, index)
 }
 
@@ -183,10 +183,10 @@
 		d.Departed = append(d.Departed, Departure{ID: id, Revision: index, Engine: old.IsEngine(), Born: old.Born})
 		d.order.gone[id] = old.Born
 		d.order.left(old)
-		d.BackendsAt = index
+		d.BackendsRevision = index
 	}
 	for len(d.Departed) > max(rememberedDepartures, len(d.Backends)) {
-		d.ForgottenAt = d.Departed[0].Revision
+		d.CompactedRevision = d.Departed[0].Revision
 		delete(d.order.gone, d.Departed[0].ID)
 		d.Departed = d.Departed[1:]
 	}
@@ -204,12 +204,14 @@
 	return gone
 }
 
-// Remembers tells whether Changed knows all that happened after a revision.
-func (d *Deployment) Remembers(since uint64) bool { return since != 0 && since >= d.ForgottenAt }
+// HasChangesSince tells whether Changed knows all that happened after a revision.
+func (d *Deployment) HasChangesSince(since uint64) bool {
+	return since != 0 && since >= d.CompactedRevision
+}
 
-// Changed returns the rows that changed after a revision, and the back ends
+// ChangedSince returns the rows that changed after a revision, and the back ends
 // that departed since. At revision 0 the rows are all there are.
-func (d *Deployment) Changed(since uint64) (rows []Backend, gone []Departure) {
+func (d *Deployment) ChangedSince(since uint64) (rows []Backend, gone []Departure) {
 	rows = d.order.since(d, since)
 	if since == 0 {
 		return rows, nil
@@ -218,11 +220,11 @@
 	return rows, d.Departed[first:]
 }
 
-// Engines is how many of the back ends are model engines.
-func (d *Deployment) Engines() int { return d.order.engines }
+// EngineCount is how many of the back ends are model engines.
+func (d *Deployment) EngineCount() int { return d.order.engines }
 
-// Newest returns the highest named version of a model, 0 for none.
-func (d *Deployment) Newest(model string) int {
+// LatestWeights returns the highest named version of a model, 0 for none.
+func (d *Deployment) LatestWeights(model string) int {
 	newest := 0
 	for _, w := range d.Weights {
 		if w.Model == model {
@@ -232,8 +234,10 @@
 	return newest
 }
 
-// ChangedAt returns the log index of the last change that routers follow.
-func (d *Deployment) ChangedAt() uint64 { return max(d.ConfiguredAt, d.BackendsAt, d.BlockedAt) }
+// Revision returns the log index of the last change that routers follow.
+func (d *Deployment) Revision() uint64 {
+	return max(d.ConfigurationRevision, d.BackendsRevision, d.BlockedRevision)
+}
 
 // Deployment returns the deployment's state. Callers must not change it.
 func (m *Machine) Deployment() *Deployment { return &m.data.Deployment }
--- a/internal/state/deployment_test.go
+++ b/internal/state/deployment_test.go
@@ -46,8 +46,8 @@
 	applied(t, m, enrol(Backend{ID: "x"}, Backend{ID: "y"}))
 	since := m.Applied()
 	applied(t, m, enrol(Backend{ID: "y", Draining: true}), Command{Depart: &Depart{IDs: []string{"x"}}})
-	assert.Assert(t, m.Deployment().Remembers(since))
-	rows, gone := m.Deployment().Changed(since)
+	assert.Assert(t, m.Deployment().HasChangesSince(since))
+	rows, gone := m.Deployment().ChangedSince(since)
 	assert.Equal(t, len(rows), 1)
 	assert.Equal(t, rows[0].ID, "y")
 	assert.Equal(t, len(gone), 1)
@@ -63,9 +63,9 @@
 		ids = append(ids, fmt.Sprint(i))
 	}
 	applied(t, m, Command{Depart: &Depart{IDs: ids[:1]}}, Command{Depart: &Depart{IDs: ids[1:]}})
-	assert.Assert(t, !m.Deployment().Remembers(since))
-	assert.Assert(t, !m.Deployment().Remembers(0))
-	rows, gone := m.Deployment().Changed(0)
+	assert.Assert(t, !m.Deployment().HasChangesSince(since))
+	assert.Assert(t, !m.Deployment().HasChangesSince(0))
+	rows, gone := m.Deployment().ChangedSince(0)
 	assert.Equal(t, len(rows), 1)
 	assert.Equal(t, len(gone), 0)
 }
@@ -95,7 +95,7 @@
 			}
 		}
 		for _, machine := range []*Machine{m, restored} {
-			rows, _ := machine.Deployment().Changed(since)
+			rows, _ := machine.Deployment().ChangedSince(since)
 			got := map[string]uint64{}
 			for _, b := range rows {
 				got[b.ID] = b.Revision
@@ -139,5 +139,5 @@
 	applied(t, m, Command{Depart: &Depart{IDs: ids}}, enrol(Backend{ID: ids[0]}))
 	_, back := m.Deployment().Backends[ids[0]]
 	assert.Assert(t, !back)
-	assert.Assert(t, m.Deployment().Remembers(since))
+	assert.Assert(t, m.Deployment().HasChangesSince(since))
 }
--- a/internal/state/start.go
+++ b/internal/state/start.go
@@ -16,8 +16,8 @@
 	Born UnixMilli
 }
 
-// Same tells whether two starts are one, for all that they say.
-func (s Start) Same(other Start) bool {
+// Matches tells whether two starts are one, for all that they say.
+func (s Start) Matches(other Start) bool {
 	return s.Name == other.Name && (s.Born == other.Born || s.Born == 0 || other.Born == 0)
 }
 
@@ -52,8 +52,8 @@
 	return out
 }
 
-// IsGone tells whether a start is known to be gone, and has not come back.
-func (d *Deployment) IsGone(s Start) bool {
+// HasDeparted tells whether a start is known to be gone, and has not come back.
+func (d *Deployment) HasDeparted(s Start) bool {
 	if _, back := d.returned(s); back {
 		return false
 	}
@@ -64,16 +64,16 @@
 	return gone
 }
 
-// IDOf returns the ID of a start's row, whether it is there or to come. The first start of
+// RowID returns the ID of a start's row, whether it is there or to come. The first start of
 // a back end has its name: routers of earlier builds name a back end by its row's ID when
 // they send. Later ones have the time of their start behind it, so that everything that is
 // kept by ID is kept by start.
-func (d *Deployment) IDOf(s Start) string {
+func (d *Deployment) RowID(s Start) string {
 	if b, back := d.returned(s); back {
 		return b.ID
 	}
 	if b, known := d.Backends[s.Name]; known {
-		if s.Same(b.Start()) {
+		if s.Matches(b.Start()) {
 			return s.Name
 		}
 		return laterID(s)
@@ -90,13 +90,13 @@
 // returned is the row of a start that was gone and has come back.
 func (d *Deployment) returned(s Start) (Backend, bool) {
 	b, known := d.Current(s.Name)
-	return b, known && strings.Contains(b.ID, returnedMark) && s.Same(b.Start())
+	return b, known && strings.Contains(b.ID, returnedMark) && s.Matches(b.Start())
 }
 
-// ReturnedID is the ID of the row under which a start that was gone comes back: its former
+// ReturnedRowID is the ID of the row under which a start that was gone comes back: its former
 // one stays gone, so that a late heartbeat can't bring it back on a node of any build.
-func (d *Deployment) ReturnedID(s Start) string {
-	return s.Name + returnedMark + strconv.FormatUint(d.ChangedAt(), 36)
+func (d *Deployment) ReturnedRowID(s Start) string {
+	return s.Name + returnedMark + strconv.FormatUint(d.Revision(), 36)
 }
 
 func laterID(s Start) string { return s.Name + "~" + strconv.FormatInt(int64(s.Born), 36) }
@@ -108,7 +108,7 @@
 	switch {
 	case !known || other.ID == b.ID:
 		o.current[b.Name()] = b.ID
-	case other.Enrolled > b.Enrolled || (other.Enrolled == b.Enrolled && other.Born > b.Born):
+	case other.EnrolledRevision > b.EnrolledRevision || (other.EnrolledRevision == b.EnrolledRevision && other.Born > b.Born):
 		o.superseded[b.ID] = struct{}{}
 	default:
 		o.superseded[other.ID] = struct{}{}
--- a/internal/state/start_test.go
+++ b/internal/state/start_test.go
@@ -20,10 +20,10 @@
 	row, known := d.Current("e")
 	assert.Assert(t, known && row.Draining)
 	assert.Equal(t, row.Start(), Start{Name: "e"})
-	assert.Equal(t, d.IDOf(Start{Name: "e", Born: 5}), "e", "it learns when it started")
-	assert.Assert(t, d.IsGone(Start{Name: "gone"}))
-	assert.Assert(t, !d.IsGone(Start{Name: "gone", Born: 5}), "which start is gone is not known")
-	assert.Assert(t, d.IDOf(Start{Name: "gone", Born: 5}) != "gone")
+	assert.Equal(t, d.RowID(Start{Name: "e", Born: 5}), "e", "it learns when it started")
+	assert.Assert(t, d.HasDeparted(Start{Name: "gone"}))
+	assert.Assert(t, !d.HasDeparted(Start{Name: "gone", Born: 5}), "which start is gone is not known")
+	assert.Assert(t, d.RowID(Start{Name: "gone", Born: 5}) != "gone")
 	assert.Equal(t, len(d.Blocked), 1)
 }
 
@@ -33,7 +33,7 @@
 	applied(t, m, enrol(Backend{ID: "x", Born: 1}))
 	d := m.Deployment()
 	second := Start{Name: "x", Born: 5}
-	applied(t, m, enrol(Backend{ID: d.IDOf(second), Instance: "x", Born: 5}))
+	applied(t, m, enrol(Backend{ID: d.RowID(second), Instance: "x", Born: 5}))
 	assert.DeepEqual(t, d.Superseded(), []string{"x"})
 	for range 2 {
 		row, known := m.Deployment().Current("x")
@@ -47,11 +47,11 @@
 	applied(t, m, Command{Depart: &Depart{IDs: []string{"x"}}})
 	d = m.Deployment()
 	assert.Equal(t, len(d.Superseded()), 0)
-	assert.Assert(t, d.IsGone(Start{Name: "x", Born: 1}))
-	assert.Assert(t, !d.IsGone(second))
+	assert.Assert(t, d.HasDeparted(Start{Name: "x", Born: 1}))
+	assert.Assert(t, !d.HasDeparted(second))
 	// A clock that was set back: the start that enrolled last is the present one.
 	third := Start{Name: "x", Born: 3}
-	applied(t, m, enrol(Backend{ID: d.IDOf(third), Instance: "x", Born: 3}))
+	applied(t, m, enrol(Backend{ID: d.RowID(third), Instance: "x", Born: 3}))
 	row, _ := d.Current("x")
 	assert.Equal(t, row.Born, UnixMilli(3))
 }
@@ -61,7 +61,7 @@
 func TestACommandOfALaterBuildStopsTheReplica(t *testing.T) {
 	m := New()
 	_, err := m.Apply(1, 1, []byte(`{"at":5,"migrate":{"to":3}}`))
-	assert.Assert(t, errors.Is(err, ErrLaterBuild))
+	assert.Assert(t, errors.Is(err, ErrUnsupportedCommand))
 	assert.ErrorContains(t, err, "migrate")
 	// It stands before the entry still.
 	assert.Equal(t, m.Applied(), uint64(0))
--- a/internal/storage/level_test.go
+++ b/internal/storage/level_test.go
@@ -17,10 +17,10 @@
 func writeLevel(t *testing.T, dir string) {
 	s, _, err := Open(vfs.Default, dir)
 	assert.NilError(t, err)
-	assert.NilError(t, s.Save(raft.Ready{HardState: &raft.HardState{Term: 2, Vote: 7, Commit: 3, Led: 2}, Entries: entries(1, 4, 2)}))
+	assert.NilError(t, s.Save(raft.Ready{HardState: &raft.HardState{Term: 2, Vote: 7, Commit: 3, LedTerm: 2}, Entries: entries(1, 4, 2)}))
 	snapshot := &raft.Snapshot{Index: 3, Term: 2, Membership: raft.Membership{Voters: []uint64{7, 8, 9}, Addresses: map[uint64]string{7: "10.0.0.7:1"}}, Data: []byte(`{"applied":3}`)}
-	assert.NilError(t, s.SaveSnapshot(snapshot, raft.HardState{Term: 2, Vote: 7, Commit: 4, Led: 2}, entries(4, 4, 2)))
-	assert.NilError(t, s.Save(raft.Ready{HardState: &raft.HardState{Term: 3, Vote: 8, Commit: 5, Led: 2}, Entries: entries(5, 6, 3)}))
+	assert.NilError(t, s.SaveSnapshot(snapshot, raft.HardState{Term: 2, Vote: 7, Commit: 4, LedTerm: 2}, entries(4, 4, 2)))
+	assert.NilError(t, s.Save(raft.Ready{HardState: &raft.HardState{Term: 3, Vote: 8, Commit: 5, LedTerm: 2}, Entries: entries(5, 6, 3)}))
 	assert.NilError(t, s.Close())
 }
 
@@ -35,7 +35,7 @@
 		assert.NilError(t, os.CopyFS(dir, os.DirFS(levelFolder(level))))
 		s, stored, err := Open(vfs.Default, dir)
 		assert.NilError(t, err, "level %s", level)
-		assert.DeepEqual(t, stored.HardState, raft.HardState{Term: 3, Vote: 8, Commit: 5, Led: 2})
+		assert.DeepEqual(t, stored.HardState, raft.HardState{Term: 3, Vote: 8, Commit: 5, LedTerm: 2})
 		assert.Equal(t, stored.Snapshot.Index, uint64(3))
 		assert.DeepEqual(t, stored.Snapshot.Membership.Voters, []uint64{7, 8, 9})
 		assert.Equal(t, string(stored.Snapshot.Data), `{"applied":3}`)
--- a/internal/storage/lines.go
+++ b/internal/storage/lines.go
@@ -41,7 +41,7 @@
 			continue
 		}
 		if laterBatch(rest, records) {
-			return records, len(data), errors.Wrapf(ErrDamaged, "record %d", len(records)+1)
+			return records, len(data), errors.Wrapf(ErrCorrupt, "record %d", len(records)+1)
 		}
 		return wholeBatches(records), len(data), nil
 	}
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -26,9 +26,9 @@
 	newSuffix    = ".new"
 )
 
-// ErrDamaged is returned when a file holds a record that was synced and cannot
+// ErrCorrupt is returned when a file holds a record that was synced and cannot
 // be read any more. The node must be replaced, not restarted.
-var ErrDamaged = errors.New("stored state is damaged")
+var ErrCorrupt = errors.New("stored state is damaged")
 
 // record is one line of the log file. Exactly one of Hard and Entry is set.
 //
@@ -75,26 +75,26 @@
 }
 
 // Open reads the folder, creating it if needed, and returns what it held.
-func Open(fs vfs.FS, dir string) (*Storage, raft.Stored, error) {
+func Open(fs vfs.FS, dir string) (*Storage, raft.StoredState, error) {
 	s := &Storage{fs: fs, dir: dir}
 	if err := makeFolder(fs, dir); err != nil {
-		return nil, raft.Stored{}, err
+		return nil, raft.StoredState{}, err
 	}
 	stored, _, err := Read(fs, dir)
 	if err != nil {
-		return nil, raft.Stored{}, err
+		return nil, raft.StoredState{}, err
 	}
 	// The log is rewritten at each start: it drops a torn tail, and leaves a
 	// file whose every record is synced.
 	if err := s.rewrite(stored.HardState, stored.Entries); err != nil {
-		return nil, raft.Stored{}, err
+		return nil, raft.StoredState{}, err
 	}
 	return s, stored, nil
 }
 
 // Read returns what a data folder holds, without changing it. Torn is the
 // number of bytes of an unfinished last record.
-func Read(fs vfs.FS, dir string) (stored raft.Stored, torn int, err error) {
+func Read(fs vfs.FS, dir string) (stored raft.StoredState, torn int, err error) {
 	snapshot, err := readSnapshot(fs, fs.PathJoin(dir, snapshotName))
 	if err != nil {
 		return stored, 0, err
@@ -115,7 +115,7 @@
 }
 
 // replay builds the stored state from the log's records.
-func replay(stored *raft.Stored, records []record) error {
+func replay(stored *raft.StoredState, records []record) error {
 	offset := uint64(0)
 	if stored.Snapshot != nil {
 		offset = stored.Snapshot.Index
@@ -132,12 +132,12 @@
 	entries = after(entries, stored.Snapshot)
 	for i := range entries {
 		if entries[i].Index != offset+1+uint64(i) {
-			return errors.Wrapf(ErrDamaged, "entry %d stands where entry %d should", entries[i].Index, offset+1+uint64(i))
+			return errors.Wrapf(ErrCorrupt, "entry %d stands where entry %d should", entries[i].Index, offset+1+uint64(i))
 		}
 	}
 	last := offset + uint64(len(entries))
 	if stored.HardState.Commit > last {
-		return errors.Wrapf(ErrDamaged, "entry %d was committed and the log ends at %d", stored.HardState.Commit, last)
+		return errors.Wrapf(ErrCorrupt, "entry %d was committed and the log ends at %d", stored.HardState.Commit, last)
 	}
 	stored.Entries = entries
 	return nil
@@ -310,7 +310,7 @@
 	}
 	var snapshot raft.Snapshot
 	if !decodeLine(bytes.TrimSuffix(data, []byte{'\n'}), &snapshot) {
-		return nil, errors.Wrapf(ErrDamaged, "%s", snapshotName)
+		return nil, errors.Wrapf(ErrCorrupt, "%s", snapshotName)
 	}
 	return &snapshot, nil
 }
@@ -337,7 +337,7 @@
 }
 
 // Describe says in one line what a stored state holds.
-func Describe(stored raft.Stored, torn int) string {
+func Describe(stored raft.StoredState, torn int) string {
 	first, last, snapshotAt := uint64(0), uint64(0), uint64(0)
 	if len(stored.Entries) > 0 {
 		first, last = stored.Entries[0].Index, stored.Entries[len(stored.Entries)-1].Index
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -116,7 +116,7 @@
 	data[hole] ^= 1
 	writeLog(t, fs, data)
 	_, _, err := Open(fs, folder)
-	assert.Assert(t, errors.Is(err, ErrDamaged), "%v", err)
+	assert.Assert(t, errors.Is(err, ErrCorrupt), "%v", err)
 	assert.DeepEqual(t, readLog(t, fs), data) // nothing was changed
 }
 
@@ -126,7 +126,7 @@
 	assert.NilError(t, err)
 	save(t, s, raft.HardState{Term: 1, Commit: 9}, entries(1, 3, 1)...)
 	_, _, err = Open(fs, folder)
-	assert.Assert(t, errors.Is(err, ErrDamaged), "%v", err)
+	assert.Assert(t, errors.Is(err, ErrCorrupt), "%v", err)
 }
 
 func TestASnapshotReplacesTheLogItDoesNotFit(t *testing.T) {
@@ -160,7 +160,7 @@
 	_, err = file.Write([]byte("0000000f {\"index\":6}\n"))
 	assert.NilError(t, err)
 	_, _, err = Open(fs, folder)
-	assert.Assert(t, errors.Is(err, ErrDamaged), "%v", err)
+	assert.Assert(t, errors.Is(err, ErrCorrupt), "%v", err)
 }
 
 func TestAFailedDiskTakesNoMoreWrites(t *testing.T) {
@@ -179,7 +179,7 @@
 		records, torn, err := decodeLog(data)
 		assert.Assert(t, torn <= len(data))
 		if err != nil {
-			assert.Assert(t, errors.Is(err, ErrDamaged))
+			assert.Assert(t, errors.Is(err, ErrCorrupt))
 		}
 		if count := len(records); count > 0 && err == nil {
 			assert.Equal(t, records[count-1].Left, 0)
