--- a/internal/backends/attempt.go
+++ b/internal/backends/attempt.go
@@ -33,7 +33,7 @@
 	// ends without models, and once it has.
 	sent    time.Duration
 	ahead   int
-	reading *speed.Reading
+	reading *speed.Estimator
 	// moves says that its engine takes kept parts from a store first: how long it waits
 	// tells nothing of reading.
 	moves bool
@@ -77,8 +77,8 @@
 	return a
 }
 
-// Moves says that the engine takes kept parts from a store before it reads.
-func (a *Attempt) Moves() {
+// SetFetches says that the engine takes kept parts from a store before it reads.
+func (a *Attempt) SetFetches() {
 	a.pool.mu.Lock()
 	defer a.pool.mu.Unlock()
 	a.moves = true
@@ -122,10 +122,10 @@
 	return excess
 }
 
-// Waited tells a pool that drains that the first event has come, now or since its
+// FirstEventReported tells a pool that drains that the first event has come, now or since its
 // last word, and how long it took. It returns how much longer than expected that
 // was, 0 where no time is expected.
-func (a *Attempt) Waited(now, wait time.Duration) (excess time.Duration) {
+func (a *Attempt) FirstEventReported(now, wait time.Duration) (excess time.Duration) {
 	a.pool.mu.Lock()
 	defer a.pool.mu.Unlock()
 	excess = a.learn(wait)
--- a/internal/backends/choose.go
+++ b/internal/backends/choose.go
@@ -31,16 +31,16 @@
 	// Shared is how many tokens of the prompt other requests share.
 	Shared int
 	Work   Work
-	// Cold returns how many of the shared tokens must be read at a back end with
+	// UncachedTokens returns how many of the shared tokens must be read at a back end with
 	// this version, for all that is known; nil means none.
-	Cold func(version int) int
+	UncachedTokens func(version int) int
 	// Holder returns the engine that has the key's part with this version; nil when
 	// nothing is known of it.
 	Holder func(version int) string
 	// Claimant says whose request it is, for back ends that take only so much.
 	Claimant coordapi.Claimant
-	// FullToo lets the choice fall on those that take no more for a while, too.
-	FullToo bool
+	// IncludeLimited lets the choice fall on those that take no more for a while, too.
+	IncludeLimited bool
 	// Parts are the shared parts of the prompt.
 	Parts []coordapi.Part
 	// Store is the address of the store that keeps the shared parts, empty for none, and
@@ -127,19 +127,19 @@
 // the prompt to be saved: of 1, 2 and 4 tried, 2 led to the fewest tokens read again.
 const savedDivisor = 2
 
-// Saves tells whether the request may save its shared parts. One whose own part is
+// MaySave tells whether the request may save its shared parts. One whose own part is
 // large leaves that to the next: nobody fetches its own part, which takes the
 // store's link and drives others out of its memory.
-func (q *Query) Saves() bool { return q.Work.Prompt <= q.Shared/savedDivisor }
+func (q *Query) MaySave() bool { return q.Work.Prompt <= q.Shared/savedDivisor }
 
 // unread is how many prompt tokens an engine with this version must read.
 func (q *Query) unread(version int) int {
-	if q.Cold == nil {
+	if q.UncachedTokens == nil {
 		return q.Work.Prompt
 	}
 	tokens, asked := q.cold[version]
 	if !asked {
-		tokens = q.Cold(version)
+		tokens = q.UncachedTokens(version)
 		q.cold[version] = tokens
 	}
 	return q.Work.Prompt + tokens
@@ -250,7 +250,7 @@
 		if r.Pool != q.Pool || !p.mayServe(r, q) || slices.Contains(q.Tried, r.ID) {
 			continue
 		}
-		if p.standing(r.ID).Barred() || (now < r.fullUntil && !q.FullToo) {
+		if p.standing(r.ID).Barred() || (now < r.fullUntil && !q.IncludeLimited) {
 			continue
 		}
 		c := candidate{row: r, ahead: p.unreadOf(now, r, rate) + r.others.Prompt,
--- a/internal/backends/demand.go
+++ b/internal/backends/demand.go
@@ -18,9 +18,9 @@
 	engines int
 }
 
-// ReadingShare is the part of their time that the engines of the busiest pool need
+// PrefillShare is the part of their time that the engines of the busiest pool need
 // to read prompts.
-func (p *Pool) ReadingShare(now time.Duration) float64 {
+func (p *Pool) PrefillShare(now time.Duration) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	most := 0.0
--- a/internal/backends/index_test.go
+++ b/internal/backends/index_test.go
@@ -63,7 +63,7 @@
 		w.both(func(p *Pool) { p.Apply([]state.Backend{*row}, nil, false) })
 	case 6:
 		notes := coordapi.Notes{Silent: []string{id, w.anyID()}, Preferred: map[string]int{"m": w.random.IntN(3)}}
-		w.both(func(p *Pool) { p.Note(notes) })
+		w.both(func(p *Pool) { p.ApplyNotes(notes) })
 	case 7:
 		whole := w.random.IntN(2) == 0
 		w.both(func(p *Pool) { p.Apply(nil, []string{id}, false) })
@@ -82,7 +82,7 @@
 	begun, wait := w.random.IntN(3) > 0, time.Duration(w.random.IntN(200))*time.Millisecond
 	for _, a := range w.open[i] {
 		if begun {
-			a.Waited(w.now, wait)
+			a.FirstEventReported(w.now, wait)
 		}
 		a.End(w.now)
 	}
--- a/internal/backends/outcome.go
+++ b/internal/backends/outcome.go
@@ -76,8 +76,8 @@
 	})
 }
 
-// Holds notes the version of a model that a back end's answer named.
-func (p *Pool) Holds(id, model string, version int) {
+// VersionObserved notes the version of a model that a back end's answer named.
+func (p *Pool) VersionObserved(id, model string, version int) {
 	p.with(id, func(r *row) {
 		if version > r.Weights[model] {
 			weights := maps.Clone(r.Weights)
@@ -106,8 +106,8 @@
 	return out
 }
 
-// Heard takes what attempts of another router have shown.
-func (p *Pool) Heard(now time.Duration, troubles []coordapi.Trouble) {
+// ApplyTroubles takes what attempts of another router have shown.
+func (p *Pool) ApplyTroubles(now time.Duration, troubles []coordapi.Trouble) {
 	for _, t := range troubles {
 		switch t.Kind {
 		case coordapi.Failed:
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -103,7 +103,7 @@
 	refused int
 	// reading is how fast the engines of a pool read, and demands how much they have to,
 	// by the pool's name.
-	reading map[string]*speed.Reading
+	reading map[string]*speed.Estimator
 	demands map[string]*demand
 }
 
@@ -119,13 +119,13 @@
 
 // NewPool returns an empty pool as seen from a zone.
 func NewPool(zone string) *Pool {
-	return &Pool{zone: zone, rows: map[string]*row{}, waiting: map[*Attempt]struct{}{}, reading: map[string]*speed.Reading{},
+	return &Pool{zone: zone, rows: map[string]*row{}, waiting: map[*Attempt]struct{}{}, reading: map[string]*speed.Estimator{},
 		flows: map[string]*flow{}, demands: map[string]*demand{}}
 }
 
-// Heed makes the pool choose no back end that wants nothing from this process. It is
+// SetPushbacks makes the pool choose no back end that wants nothing from this process. It is
 // called before the pool is used.
-func (p *Pool) Heed(pushbacks *pushback.Register) { p.pushbacks = pushbacks }
+func (p *Pool) SetPushbacks(pushbacks *pushback.Register) { p.pushbacks = pushbacks }
 
 // NewCentralPool returns an empty pool for one that chooses for all routers. It is
 // told late when engines have read a prompt.
@@ -162,8 +162,8 @@
 	}
 }
 
-// Narrow drops the engines outside a shard, of which nothing more is heard.
-func (p *Pool) Narrow(shard coordapi.Shard) {
+// RestrictToShard drops the engines outside a shard, of which nothing more is heard.
+func (p *Pool) RestrictToShard(shard coordapi.Shard) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.drop(func(r *row) bool { return r.IsEngine() && !shard.Holds(coordapi.BackendID(r.ID)) })
@@ -196,8 +196,8 @@
 	return r
 }
 
-// Note takes what only the leader knows.
-func (p *Pool) Note(notes coordapi.Notes) {
+// ApplyNotes takes what only the leader knows.
+func (p *Pool) ApplyNotes(notes coordapi.Notes) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	before := p.notes.Silent
@@ -216,9 +216,9 @@
 	}
 }
 
-// Others takes the work of all routers together, this one's among it, as it was
+// SetTotalLoads takes the work of all routers together, this one's among it, as it was
 // age ago in the mean. Without engines, what was heard of those stays.
-func (p *Pool) Others(now time.Duration, loads []coordapi.Load, age time.Duration, engines bool) {
+func (p *Pool) SetTotalLoads(now time.Duration, loads []coordapi.Load, age time.Duration, engines bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range p.rows {
@@ -239,8 +239,8 @@
 // age is how old the others' work is.
 func (p *Pool) age(now time.Duration) time.Duration { return now - p.othersAt + p.othersAge }
 
-// Own returns this router's work under way.
-func (p *Pool) Own() []coordapi.Load {
+// OwnLoads returns this router's work under way.
+func (p *Pool) OwnLoads() []coordapi.Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []coordapi.Load
--- a/internal/backends/pool_test.go
+++ b/internal/backends/pool_test.go
@@ -59,7 +59,7 @@
 	assert.Equal(t, ahead(0), 60_000)
 	assert.Equal(t, ahead(100*time.Millisecond), 56_000, "40 tokens a millisecond, as assumed at first")
 	assert.Equal(t, ahead(3*time.Second), 60_000-16_000, "for longer than reports take")
-	attempts[0].Waited(3*time.Second, 2900*time.Millisecond)
+	attempts[0].FirstEventReported(3*time.Second, 2900*time.Millisecond)
 	assert.Equal(t, ahead(3*time.Second), 40_000-4_000, "read on from its last first event")
 	attempts[1].End(3 * time.Second)
 	attempts[2].End(3 * time.Second)
@@ -83,7 +83,7 @@
 func TestASilentEngineIsNoHome(t *testing.T) {
 	p := newTestPool(engine("x", 1), engine("y", 1), engine("z", 1))
 	home := mustChoose(t, p, 0, query())
-	p.Note(coordapi.Notes{Silent: []string{home.ID}})
+	p.ApplyNotes(coordapi.Notes{Silent: []string{home.ID}})
 	next := mustChoose(t, p, 0, query())
 	assert.Assert(t, next.ID != home.ID && next.Home)
 	assert.Equal(t, next.HomeAddress, next.Address)
@@ -107,7 +107,7 @@
 	draining.Draining = true
 	loading.Loading = &state.Loading{Model: "m", Version: 3}
 	p := newTestPool(draining, loading, engine("old", 1))
-	p.Note(coordapi.Notes{Minimum: map[string]int{"m": 2}})
+	p.ApplyNotes(coordapi.Notes{Minimum: map[string]int{"m": 2}})
 	q := query()
 	_, found := p.Choose(0, &q)
 	assert.Assert(t, !found)
@@ -115,7 +115,7 @@
 
 func TestSuspicionNeverEmptiesAPool(t *testing.T) {
 	p := newTestPool(engine("x", 1), engine("y", 1))
-	p.Note(coordapi.Notes{Silent: []string{"x", "y"}})
+	p.ApplyNotes(coordapi.Notes{Silent: []string{"x", "y"}})
 	for range 10 {
 		p.Failed(0, "x")
 		p.Failed(0, "y")
@@ -129,7 +129,7 @@
 // newest weights, and to others only when those are busy.
 func TestTheNewestWeightsAreChosenWhileTheyCanServe(t *testing.T) {
 	p := newTestPool(engine("a", 1), engine("b", 2))
-	p.Note(coordapi.Notes{Preferred: map[string]int{"m": 2}})
+	p.ApplyNotes(coordapi.Notes{Preferred: map[string]int{"m": 2}})
 	q := query()
 	q.Target = 600 * time.Millisecond
 	for i := range 30 {
@@ -154,7 +154,7 @@
 		rows = append(rows, engine("old"+strconv.Itoa(i), 1))
 	}
 	p := newTestPool(rows...)
-	p.Note(coordapi.Notes{Preferred: map[string]int{"m": 2}})
+	p.ApplyNotes(coordapi.Notes{Preferred: map[string]int{"m": 2}})
 	q := query()
 	q.Target = 10 * time.Second
 	taken := 0
@@ -203,9 +203,9 @@
 	var waiting, begun error
 	p.Begin(0, &choice, &q, func(err error) { waiting = err })
 	p.Begin(0, &choice, &q, func(err error) { begun = err }).Begun(0, true)
-	p.Note(coordapi.Notes{Minimum: map[string]int{"m": 2}, Expired: map[string]int{"m": 1}})
+	p.ApplyNotes(coordapi.Notes{Minimum: map[string]int{"m": 2}, Expired: map[string]int{"m": 1}})
 	assert.NilError(t, waiting)
-	p.Note(coordapi.Notes{Minimum: map[string]int{"m": 2}, Expired: map[string]int{"m": 2}})
+	p.ApplyNotes(coordapi.Notes{Minimum: map[string]int{"m": 2}, Expired: map[string]int{"m": 2}})
 	assert.Assert(t, errors.Is(waiting, ErrExpired))
 	assert.NilError(t, begun)
 }
@@ -223,7 +223,7 @@
 			a.Begun(time.Duration(choice.Work.Prompt)*time.Millisecond/10, ran)
 			a.End(0)
 		}
-		return p.Rates()["llm"].Speed
+		return p.PrefillRates()["llm"].Speed
 	}
 	assert.Equal(t, teach(false), speed.TokensPerMs(40))
 	rate := teach(true)
@@ -247,7 +247,7 @@
 	p := newTestPool(engine("w", 1), engine("x", 1), engine("y", 2), engine("z", 2))
 	q := query()
 	asked := map[int]int{}
-	q.Cold = func(version int) int {
+	q.UncachedTokens = func(version int) int {
 		asked[version]++
 		return 100 * version * asked[version]
 	}
@@ -269,7 +269,7 @@
 		q := query()
 		choice := Choice{ID: id}
 		a := p.Begin(at, &choice, &q, func(error) {})
-		a.Waited(at, time.Millisecond)
+		a.FirstEventReported(at, time.Millisecond)
 		return a
 	}
 	// Runs take two seconds.
@@ -310,7 +310,7 @@
 	for range 4 {
 		stream := query()
 		a := p.Begin(0, &Choice{ID: home}, &stream, func(error) {})
-		a.Waited(0, time.Millisecond)
+		a.FirstEventReported(0, time.Millisecond)
 	}
 	assert.Equal(t, mustChoose(t, p, 0, q).ID, home, "a short one stays at home")
 	q.Work.Prompt = 20_000
--- a/internal/backends/pushback.go
+++ b/internal/backends/pushback.go
@@ -12,10 +12,10 @@
 	return p.pushbacks.Standing(coordapi.BackendID(id))
 }
 
-// Back is how long it takes until the first back end of a query's pool may be sent to
+// RetryAfter is how long it takes until the first back end of a query's pool may be sent to
 // again, if all that could serve it want nothing now; 0 if one may be sent to, or none
 // will be.
-func (p *Pool) Back(now time.Duration, q *Query) time.Duration {
+func (p *Pool) RetryAfter(now time.Duration, q *Query) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	first := time.Duration(0)
--- a/internal/backends/pushback_test.go
+++ b/internal/backends/pushback_test.go
@@ -36,7 +36,7 @@
 func TestAnEngineThatPushedBackIsOfferedToOthersLast(t *testing.T) {
 	p := centralOf(3)
 	told := []coordapi.Trouble{{ID: "e01", Kind: coordapi.Busy, For: 3 * time.Second}}
-	p.Heard(0, told)
+	p.ApplyTroubles(0, told)
 	for key := range 40 {
 		id, a := place(t, p, time.Second, key)
 		assert.Assert(t, id != "e01")
@@ -59,7 +59,7 @@
 	for i := range 10 {
 		id := fmt.Sprintf("e%02d", i)
 		resting[id] = true
-		p.Heard(0, []coordapi.Trouble{{ID: id, Kind: coordapi.Busy, For: 3 * time.Second}})
+		p.ApplyTroubles(0, []coordapi.Trouble{{ID: id, Kind: coordapi.Busy, For: 3 * time.Second}})
 	}
 	trials := map[string][]*Attempt{}
 	place100 := func(from time.Duration) {
@@ -84,10 +84,10 @@
 		if full == "" {
 			full = id
 			attempts[0].End(3200 * time.Millisecond)
-			p.Heard(3200*time.Millisecond, []coordapi.Trouble{{ID: id, Kind: coordapi.Busy, For: 3 * time.Second}})
+			p.ApplyTroubles(3200*time.Millisecond, []coordapi.Trouble{{ID: id, Kind: coordapi.Busy, For: 3 * time.Second}})
 			continue
 		}
-		attempts[0].Waited(3200*time.Millisecond, 100*time.Millisecond)
+		attempts[0].FirstEventReported(3200*time.Millisecond, 100*time.Millisecond)
 	}
 	begun := len(trials) - 1
 	trials = map[string][]*Attempt{}
--- a/internal/backends/quiet.go
+++ b/internal/backends/quiet.go
@@ -41,9 +41,9 @@
 	return p.drains && r.unbegun >= quietLeast && now-r.quietFrom > quietTime+rate.Wait(p.unreadOf(r.quietFrom, r, rate))
 }
 
-// Quiet is how many engines have stopped to answer, for all that routers have
+// UnresponsiveEngines is how many engines have stopped to answer, for all that routers have
 // reported.
-func (p *Pool) Quiet(now time.Duration) int {
+func (p *Pool) UnresponsiveEngines(now time.Duration) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
--- a/internal/backends/reading.go
+++ b/internal/backends/reading.go
@@ -20,17 +20,17 @@
 // Rate is how fast the engines of a pool read, and how uncertain that is, as a part of
 // it.
 type Rate struct {
-	Speed  speed.TokensPerMs
-	Spread float64
+	Speed         speed.TokensPerMs
+	RelativeError float64
 }
 
-// Rates returns how fast the engines of each pool read, for all that is known.
-func (p *Pool) Rates() map[string]Rate {
+// PrefillRates returns how fast the engines of each pool read, for all that is known.
+func (p *Pool) PrefillRates() map[string]Rate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make(map[string]Rate, len(p.reading))
 	for pool, r := range p.reading {
-		out[pool] = Rate{Speed: r.Rate(), Spread: r.Spread()}
+		out[pool] = Rate{Speed: r.Rate(), RelativeError: r.RelativeError()}
 	}
 	return out
 }
@@ -43,9 +43,9 @@
 	moveDivisor = 4
 )
 
-// MoveWorth is the delay that taking the shared parts of a prompt from a store is
+// MaxFetchDelay is the delay that taking the shared parts of a prompt from a store is
 // worth.
-func (p *Pool) MoveWorth(q *Query) time.Duration {
+func (p *Pool) MaxFetchDelay(q *Query) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(moveFactor*entry(p.reading, q.Pool).Rate().Wait(q.Shared), q.Target/moveDivisor)
--- a/internal/backends/restart.go
+++ b/internal/backends/restart.go
@@ -2,9 +2,9 @@
 
 import "errors"
 
-// ErrStartedAgain is why an attempt is cancelled whose back end has started again since:
+// ErrRestarted is why an attempt is cancelled whose back end has started again since:
 // the start that ran it is over, whether its connection shows it or not.
-var ErrStartedAgain = errors.New("the back end has started again")
+var ErrRestarted = errors.New("the back end has started again")
 
 func (r *row) opened(a *Attempt) {
 	if r.open == nil {
@@ -24,7 +24,7 @@
 			continue
 		}
 		for a := range r.open {
-			a.cancel(ErrStartedAgain)
+			a.cancel(ErrRestarted)
 		}
 	}
 }
--- a/internal/coordinator/calls.go
+++ b/internal/coordinator/calls.go
@@ -89,7 +89,7 @@
 		return s.leave(ctx, *r.Leave)
 	case r.Tell != nil:
 		s.takeReports(s.now(), r.Tell.Router, &r.Tell.Reports)
-		s.placer.Report(s.now(), r.Tell.Router, &r.Tell.Reports)
+		s.placer.ApplyReports(s.now(), r.Tell.Router, &r.Tell.Reports)
 		return s.asLeader(ctx, func(now time.Duration) { s.soft.told.take(now, r.Tell) })
 	case r.Place != nil:
 		return s.place(r.Place), nil
@@ -150,12 +150,12 @@
 	now := s.now()
 	s.takeReports(now, ask.Router, &ask.Reports)
 	if backends := s.blocking.keeps(ask.Request); backends != nil {
-		s.placer.Report(now, ask.Router, &ask.Reports)
+		s.placer.ApplyReports(now, ask.Router, &ask.Reports)
 		return coordapi.Reply{Placed: &coordapi.Placed{Blocked: backends}}
 	}
 	after, admitted, counted := s.limits.take(now, ask)
 	if !admitted {
-		s.placer.Report(now, ask.Router, &ask.Reports)
+		s.placer.ApplyReports(now, ask.Router, &ask.Reports)
 		return coordapi.Reply{Placed: &coordapi.Placed{OverLimit: true, Wait: after}}
 	}
 	placed := s.placer.Place(now, ask)
@@ -174,7 +174,7 @@
 	}
 	now := s.now()
 	s.takeReports(now, ask.Router, &ask.Reports)
-	s.placer.Report(now, ask.Router, &ask.Reports)
+	s.placer.ApplyReports(now, ask.Router, &ask.Reports)
 	verdict := s.backendLimits.Take(now, ratelimit.Wish{Router: ask.Router, Number: ask.Number, Backend: ask.Backend, Claimant: ask.Claimant})
 	claimed := &coordapi.Claimed{Free: verdict.Free, Wait: verdict.Wait}
 	switch {
@@ -198,8 +198,8 @@
 // takeReports takes what a router has to say, but for what concerns placements.
 func (s *Server) takeReports(now time.Duration, router string, reports *coordapi.Reports) {
 	s.limits.charge(now, reports.Spent)
-	s.placer.Reopen(now, s.backendLimits.Hear(now, reports.Limits))
-	s.placer.Reopen(now, s.backendLimits.Unused(now, router, reports.Unused))
+	s.placer.ClearLimited(now, s.backendLimits.Hear(now, reports.Limits))
+	s.placer.ClearLimited(now, s.backendLimits.Unused(now, router, reports.Unused))
 	s.blocking.take(now, router, reports)
 	s.drain(router, draining(reports.Troubles))
 }
--- a/internal/coordinator/metrics.go
+++ b/internal/coordinator/metrics.go
@@ -43,11 +43,11 @@
 		fmt.Fprintf(w, "quinceridge_peer_sent_messages_total{carries=%q} %d\n", carries, sent.Messages)
 	}
 	gauge("entries_unreadable_total", s.unreadable.Load())
-	placements, routers := s.placer.Open()
+	placements, routers := s.placer.OpenPlacements()
 	gauge("placements_open", placements)
 	gauge("placements_routers", routers)
-	gauge("engines_quiet", s.placer.Quiet(s.now()))
-	gauge("engines_reading_share", fmt.Sprintf("%.3f", s.placer.ReadingShare(s.now())))
+	gauge("engines_quiet", s.placer.UnresponsiveEngines(s.now()))
+	gauge("engines_reading_share", fmt.Sprintf("%.3f", s.placer.PrefillShare(s.now())))
 	for _, share := range s.limits.announced() {
 		fmt.Fprintf(w, "quinceridge_limit_admitted_part{tenant=%q} %.3f\n", share.Tenant, share.Part)
 	}
--- a/internal/coordinator/rollout.go
+++ b/internal/coordinator/rollout.go
@@ -95,8 +95,8 @@
 }
 
 func (r *rollout) planConfig(s settings.Coordinator) weights.Config {
-	return weights.Config{Deadline: s.WeightsDeadline, Guard: s.WeightsGuard, Cut: expiryCut,
-		Grace: s.WeightsGrace, PerLoad: max(r.perLoad, assumedLoad), Margin: loadMargin, Divisor: s.LoadDivisor}
+	return weights.Config{Deadline: s.WeightsDeadline, Guard: s.WeightsGuard, CancelLead: expiryCut,
+		Grace: s.WeightsGrace, LoadTime: max(r.perLoad, assumedLoad), Margin: loadMargin, Divisor: s.LoadDivisor}
 }
 
 // versions returns a model's named versions with the time that each began.
@@ -104,7 +104,7 @@
 	var out []weights.Version
 	for _, w := range d.Weights {
 		if w.Model == model {
-			out = append(out, weights.Version{Number: w.Version, From: weights.Began(r.seen[w], since, deadline)})
+			out = append(out, weights.Version{Number: w.Version, Start: weights.EffectiveStart(r.seen[w], since, deadline)})
 		}
 	}
 	return out
@@ -213,7 +213,7 @@
 // crowded tells whether engines have no time to spare for loads: what an engine
 // kept must be read again after each.
 func (s *Server) crowded(now time.Duration) bool {
-	return s.soft.told.crowded(now) || s.placer.ReadingShare(now) > spareless
+	return s.soft.told.crowded(now) || s.placer.PrefillShare(now) > spareless
 }
 
 // settle finds out what became of a load that an earlier leader announced and
--- a/internal/coordinator/told_test.go
+++ b/internal/coordinator/told_test.go
@@ -49,11 +49,11 @@
 
 func TestTheTimeOfALoadIsLearned(t *testing.T) {
 	var r rollout
-	assert.Equal(t, r.planConfig(settings.Coordinator{}).PerLoad, assumedLoad)
+	assert.Equal(t, r.planConfig(settings.Coordinator{}).LoadTime, assumedLoad)
 	for range 20 {
 		r.learn(3 * time.Second)
 	}
-	assert.Equal(t, r.planConfig(settings.Coordinator{}).PerLoad.Round(100*time.Millisecond), 3*time.Second)
+	assert.Equal(t, r.planConfig(settings.Coordinator{}).LoadTime.Round(100*time.Millisecond), 3*time.Second)
 }
 
 func TestManyLoadsArePacked(t *testing.T) {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -62,7 +62,7 @@
 	pool := backends.NewPool(config.Zone)
 	saved, tenants, pushbacks := forward.NewSaved(), quota.NewGate(), pushback.New(headers, logger)
 	limits := ratelimit.New(headers, logger)
-	pool.Heed(pushbacks)
+	pool.SetPushbacks(pushbacks)
 	e.follower = follower.New(follower.Config{Name: config.Name, Zone: config.Zone, Seeds: config.Coordinators(), Right: config.RightLease(),
 		Decode: decode, Pool: pool, Saved: saved, Quota: tenants, Pushbacks: pushbacks, Limits: limits, Peers: e.peers, Logger: logger})
 	e.handler = forward.New(forward.Config{Headers: headers, Source: e.follower, Placer: e.follower, Claimer: e.follower, Lender: e.follower, Observer: e.follower, Pool: pool, Saved: saved, Quota: tenants,
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -53,16 +53,16 @@
 type Pool interface {
 	// Apply changes rows and removes departed back ends; whole replaces all.
 	Apply(rows []state.Backend, departed []string, whole bool)
-	// Narrow drops the engines outside a shard: nothing more is heard of them.
-	Narrow(shard coordapi.Shard)
-	// Note takes what only the leader knows.
-	Note(notes coordapi.Notes)
-	// Others takes the work of all routers together, as it was age ago in the mean;
+	// RestrictToShard drops the engines outside a shard: nothing more is heard of them.
+	RestrictToShard(shard coordapi.Shard)
+	// ApplyNotes takes what only the leader knows.
+	ApplyNotes(notes coordapi.Notes)
+	// SetTotalLoads takes the work of all routers together, as it was age ago in the mean;
 	// engines says that it is of engines too.
-	Others(now time.Duration, loads []coordapi.Load, age time.Duration, engines bool)
-	// Own returns the work of this router that is under way. What it returned
-	// last counts as part of what Others brings.
-	Own() []coordapi.Load
+	SetTotalLoads(now time.Duration, loads []coordapi.Load, age time.Duration, engines bool)
+	// OwnLoads returns the work of this router that is under way. What it returned
+	// last counts as part of what SetTotalLoads brings.
+	OwnLoads() []coordapi.Load
 	// Troubles returns what attempts at engines have shown since the last call.
 	Troubles() []coordapi.Trouble
 	// Refused returns how many requests were refused since the last call because
@@ -278,17 +278,17 @@
 		f.config.Pool.Apply(rows, v.Departed, whole)
 	}
 	if v.Shard.Count > f.shards {
-		f.config.Pool.Narrow(v.Shard)
+		f.config.Pool.RestrictToShard(v.Shard)
 	}
 	if v.Announced != f.announced {
-		f.config.Pool.Others(f.now(), f.loads(v), v.LoadsAge, v.EngineLoads)
+		f.config.Pool.SetTotalLoads(f.now(), f.loads(v), v.LoadsAge, v.EngineLoads)
 	}
 	if v.Leader.Leadership() != f.token.Leadership() {
 		f.config.Pushbacks.TellAgain()
 		f.config.Limits.TellAgain()
 	}
 	if v.Leader != f.token {
-		f.config.Pool.Note(v.Notes)
+		f.config.Pool.ApplyNotes(v.Notes)
 		f.config.Limits.Announced(v.Limited)
 		f.evidence.hear(v.Leader, v.Suspects)
 	}
--- a/internal/follower/place.go
+++ b/internal/follower/place.go
@@ -71,7 +71,7 @@
 	if leader == nil {
 		return choice, false, false
 	}
-	ask := placer.Ask(q)
+	ask := placer.NewRequest(q)
 	ask.Router, ask.Zone, ask.Number = f.name, f.config.Zone, f.placements.number.Add(1)
 	ask.Tried = append(slices.Clone(ask.Tried), f.config.Pushbacks.Barring(q.Pool)...)
 	ask.Reports = f.reports()
--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -245,7 +245,7 @@
 		return
 	}
 	if version, err := strconv.Atoi(header.Get(h.config.Headers.VersionIs)); err == nil {
-		h.config.Pool.Holds(choice.ID, j.query.Model, version)
+		h.config.Pool.VersionObserved(choice.ID, j.query.Model, version)
 	}
 }
 
--- a/internal/forward/choose.go
+++ b/internal/forward/choose.go
@@ -44,7 +44,7 @@
 		// The leader gives each another moment.
 		return j.room
 	}
-	back := h.config.Pool.Back(h.now(), &j.query)
+	back := h.config.Pool.RetryAfter(h.now(), &j.query)
 	if back < fullRetry {
 		return fullRetry
 	}
@@ -65,7 +65,7 @@
 		if found || j.tries() > 0 || h.now() > limit {
 			return choice, found
 		}
-		if h.now()+max(j.room, h.config.Pool.Back(h.now(), &j.query)) > limit {
+		if h.now()+max(j.room, h.config.Pool.RetryAfter(h.now(), &j.query)) > limit {
 			// All want nothing for longer than a request is held, or there is room for it
 			// only then.
 			return choice, false
@@ -102,16 +102,16 @@
 	tried := len(j.query.Tried)
 	defer func() {
 		// Those that keep their place for others are out of this choice alone.
-		j.query.Tried, j.query.FullToo = j.query.Tried[:tried], false
+		j.query.Tried, j.query.IncludeLimited = j.query.Tried[:tried], false
 	}()
 	var room time.Duration
 	for range maxClaims {
 		j.query.Draw = rand.Float64()
 		choice, found := h.config.Pool.Choose(h.now(), &j.query)
-		if !found && room == 0 && !j.query.FullToo && h.config.Pool.Back(h.now(), &j.query) > 0 {
+		if !found && room == 0 && !j.query.IncludeLimited && h.config.Pool.RetryAfter(h.now(), &j.query) > 0 {
 			// All are full. The leader is asked all the same: rights come back to it, and it
 			// knows when there is room, behind the requests of all routers.
-			j.query.FullToo = true
+			j.query.IncludeLimited = true
 			choice, found = h.config.Pool.Choose(h.now(), &j.query)
 		}
 		if !found || choice.Late || !h.config.Limits.Limited(coordapi.BackendID(choice.ID)) {
@@ -124,7 +124,7 @@
 			return choice, true
 		}
 		room = at
-		if j.query.FullToo {
+		if j.query.IncludeLimited {
 			break
 		}
 		if wait == 0 {
@@ -177,7 +177,7 @@
 	}
 	right, wait, room = h.config.Claimer.Claim(ctx, &j.query, coordapi.BackendID(choice.ID))
 	if wait > 0 {
-		h.config.Pool.Full(h.now(), choice.ID, wait)
+		h.config.Pool.SetLimited(h.now(), choice.ID, wait)
 	}
 	return right, wait, room
 }
--- a/internal/forward/describe.go
+++ b/internal/forward/describe.go
@@ -51,7 +51,7 @@
 		j.query.Key = j.parts[len(j.parts)-1]
 	}
 	j.query.Work.Prompt = max(j.query.Work.Prompt-j.query.Shared, 0)
-	j.query.Cold = func(version int) int { return sum(tokens[h.config.Saved.Known(salt(j, version), j.parts):]) }
+	j.query.UncachedTokens = func(version int) int { return sum(tokens[h.config.Saved.Known(salt(j, version), j.parts):]) }
 	if j.query.Key != "" {
 		j.query.Key += j.owner()
 	}
--- a/internal/forward/evidence.go
+++ b/internal/forward/evidence.go
@@ -60,7 +60,7 @@
 	case result.verdict == notRun:
 	case result.verdict != mayHaveRun && framed:
 		h.config.Observer.Answered(j.digest)
-	case errors.Is(context.Cause(ctx), backends.ErrStartedAgain):
+	case errors.Is(context.Cause(ctx), backends.ErrRestarted):
 		h.config.Observer.Saw(poison.Ending{Backend: choice.ID, Request: j.digest, Lasted: now - started, Down: true})
 	case context.Cause(ctx) == nil:
 		h.checks.add(choice, poison.Ending{Backend: choice.ID, Request: j.digest, Lasted: now - started}, h.checkBackend)
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -87,7 +87,7 @@
 	r.source.fresh.Store(true)
 	pushbacks := pushback.New(names, slog.New(slog.DiscardHandler))
 	limits := ratelimit.New(names, slog.New(slog.DiscardHandler))
-	r.pool.Heed(pushbacks)
+	r.pool.SetPushbacks(pushbacks)
 	r.handler = New(Config{Headers: names, Source: r.source, Pool: r.pool, Upstream: upstream.NewPool(names.RequestID, pushbacks, limits), Pushbacks: pushbacks, Limits: limits, Saved: NewSaved(),
 		Budget: BudgetConfig{Ratio: 0.2, Burst: 100, Window: time.Second}, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	r.router = httptest.NewServer(r.handler)
--- a/internal/forward/metrics.go
+++ b/internal/forward/metrics.go
@@ -74,9 +74,9 @@
 		fmt.Fprintf(w, "quinceridge_answers_total{class=\"%dxx\"} %d\n", class, m.classes[class].Load())
 		fmt.Fprintf(w, "quinceridge_own_answers_total{class=\"%dxx\"} %d\n", class, m.own[class].Load())
 	}
-	for pool, rate := range h.config.Pool.Rates() {
+	for pool, rate := range h.config.Pool.PrefillRates() {
 		fmt.Fprintf(w, "quinceridge_engine_read_tokens_per_ms{pool=%q} %.1f\n", pool, float64(rate.Speed))
-		fmt.Fprintf(w, "quinceridge_engine_read_spread{pool=%q} %.3f\n", pool, rate.Spread)
+		fmt.Fprintf(w, "quinceridge_engine_read_spread{pool=%q} %.3f\n", pool, rate.RelativeError)
 	}
 	fmt.Fprintf(w, "quinceridge_placements_total{by=\"leader\"} %d\n", m.placed.Load())
 	fmt.Fprintf(w, "quinceridge_placements_total{by=\"router\"} %d\n", m.alone.Load())
--- a/internal/forward/prompts.go
+++ b/internal/forward/prompts.go
@@ -108,7 +108,7 @@
 		h.addressPlaced(j, choice, store)
 		return
 	}
-	if store != nil && !h.store.pays(h.now(), h.config.Pool.MoveWorth(&j.query)) {
+	if store != nil && !h.store.pays(h.now(), h.config.Pool.MaxFetchDelay(&j.query)) {
 		store = nil
 	}
 	switch {
@@ -117,7 +117,7 @@
 	case !choice.Home && choice.HomeAddress != "":
 		header.Set(names.FetchFrom, choice.HomeAddress)
 	}
-	if store != nil && j.query.Saves() && h.config.Saved.Due(salt, j.parts) {
+	if store != nil && j.query.MaySave() && h.config.Saved.Due(salt, j.parts) {
 		header.Set(names.SaveTo, store.Address)
 	}
 }
--- a/internal/forward/store.go
+++ b/internal/forward/store.go
@@ -13,7 +13,7 @@
 // taken from the store. It is safe for concurrent use.
 type storeWatch struct {
 	mu    sync.Mutex
-	delay speed.Delay
+	delay speed.DelayEstimator
 }
 
 // pays tells whether a move that is worth a delay pays now.
--- a/internal/placer/limited.go
+++ b/internal/placer/limited.go
@@ -32,7 +32,7 @@
 		case verdict.Granted:
 			return choice, true, ratelimit.Term
 		case verdict.Wait > 0:
-			p.pool.Full(now, choice.ID, verdict.Wait)
+			p.pool.SetLimited(now, choice.ID, verdict.Wait)
 			continue
 		}
 		// It keeps its next place for others: it is full for this request alone.
@@ -43,18 +43,18 @@
 	}
 }
 
-// Reopen lets engines be asked again for a place: rights have come back, or they take
+// ClearLimited lets engines be asked again for a place: rights have come back, or they take
 // another rate from now on.
-func (p *Placer) Reopen(now time.Duration, ids []coordapi.BackendID) {
+func (p *Placer) ClearLimited(now time.Duration, ids []coordapi.BackendID) {
 	for _, id := range ids {
-		p.current().Full(now, string(id), 0)
+		p.current().SetLimited(now, string(id), 0)
 	}
 }
 
 // none is the choice for a request that found no engine. Kept says that one keeps its place
 // for others.
 func (p *Placer) none(now time.Duration, q *backends.Query, kept bool) backends.Choice {
-	if !kept && p.pool.Back(now, q) == 0 {
+	if !kept && p.pool.RetryAfter(now, q) == 0 {
 		// Limits are not why.
 		return backends.Choice{}
 	}
--- a/internal/placer/limited_test.go
+++ b/internal/placer/limited_test.go
@@ -58,9 +58,9 @@
 			at[key] = map[string]bool{}
 		}
 		at[key][placed.ID] = true
-		p.Report(now, "r", &coordapi.Reports{Begun: []coordapi.Begun{{Number: number, First: 15 * time.Millisecond}}})
+		p.ApplyReports(now, "r", &coordapi.Reports{Begun: []coordapi.Begun{{Number: number, First: 15 * time.Millisecond}}})
 		if number > underWay {
-			p.Report(now, "r", &coordapi.Reports{Ended: []uint64{number - underWay}})
+			p.ApplyReports(now, "r", &coordapi.Reports{Ended: []uint64{number - underWay}})
 		}
 	}
 	for _, id := range []string{"e000", "e001"} {
@@ -87,7 +87,7 @@
 		placed := p.Place(now, short(number, "k"))
 		if placed.ID != "" {
 			served++
-			p.Report(now, "r", &coordapi.Reports{Begun: []coordapi.Begun{{Number: number, First: time.Millisecond}}, Ended: []uint64{number}})
+			p.ApplyReports(now, "r", &coordapi.Reports{Begun: []coordapi.Begun{{Number: number, First: time.Millisecond}}, Ended: []uint64{number}})
 			continue
 		}
 		refused++
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -40,7 +40,7 @@
 	parts   *directory
 	// direct is how much longer than expected requests take that take nothing from a
 	// store.
-	direct speed.Delay
+	direct speed.DelayEstimator
 	swept  time.Duration
 }
 
@@ -69,7 +69,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pool, p.routers = backends.NewCentralPool(), map[string]*router{}
-	p.parts, p.direct = newDirectory(), speed.Delay{}
+	p.parts, p.direct = newDirectory(), speed.DelayEstimator{}
 }
 
 // Apply changes rows and removes departed back ends; whole replaces all.
@@ -77,16 +77,18 @@
 	p.current().Apply(rows, departed, whole)
 }
 
-// Note takes what only the leader knows.
-func (p *Placer) Note(notes coordapi.Notes) { p.current().Note(notes) }
+// ApplyNotes takes what only the leader knows.
+func (p *Placer) ApplyNotes(notes coordapi.Notes) { p.current().ApplyNotes(notes) }
 
-// Quiet is how many engines have stopped to answer, for all that routers have
+// UnresponsiveEngines is how many engines have stopped to answer, for all that routers have
 // reported.
-func (p *Placer) Quiet(now time.Duration) int { return p.current().Quiet(now) }
+func (p *Placer) UnresponsiveEngines(now time.Duration) int {
+	return p.current().UnresponsiveEngines(now)
+}
 
-// ReadingShare is the part of their time that the engines of the busiest pool need
+// PrefillShare is the part of their time that the engines of the busiest pool need
 // to read prompts.
-func (p *Placer) ReadingShare(now time.Duration) float64 { return p.current().ReadingShare(now) }
+func (p *Placer) PrefillShare(now time.Duration) float64 { return p.current().PrefillShare(now) }
 
 func (p *Placer) current() *backends.Pool {
 	p.mu.Lock()
@@ -94,8 +96,8 @@
 	return p.pool
 }
 
-// Open is how many placements are under way, and of how many routers.
-func (p *Placer) Open() (placements, routers int) {
+// OpenPlacements is how many placements are under way, and of how many routers.
+func (p *Placer) OpenPlacements() (placements, routers int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range p.routers {
@@ -119,7 +121,7 @@
 		from := p.arrange(now, ask, q, &choice)
 		a := p.pool.Begin(now, &choice, q, func(error) {})
 		if from != nil {
-			a.Moves()
+			a.SetFetches()
 		}
 		r.open[ask.Number] = &placement{a, from}
 	}
@@ -135,12 +137,12 @@
 		return nil
 	}
 	s := p.parts.store(ask)
-	if ask.Store == "" || p.storeDelay(now, s) > p.pool.MoveWorth(q) {
+	if ask.Store == "" || p.storeDelay(now, s) > p.pool.MaxFetchDelay(q) {
 		s = nil
 	}
 	source, moved := p.source(now, ask, choice, s)
 	choice.Source = source
-	choice.Save = p.parts.read(now, ask, choice, s != nil && q.Saves())
+	choice.Save = p.parts.read(now, ask, choice, s != nil && q.MaySave())
 	if !moved {
 		return nil
 	}
@@ -187,8 +189,8 @@
 	p.direct.Observe(now, excess)
 }
 
-// Report takes what a router has to say beside its placements.
-func (p *Placer) Report(now time.Duration, name string, reports *coordapi.Reports) {
+// ApplyReports takes what a router has to say beside its placements.
+func (p *Placer) ApplyReports(now time.Duration, name string, reports *coordapi.Reports) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.take(now, name, reports)
@@ -204,7 +206,7 @@
 	r.heard = now
 	for _, b := range reports.Begun {
 		if a := r.open[b.Number]; a != nil && b.First > 0 && b.First <= longestWait {
-			p.learn(now, a, a.Waited(now, b.First))
+			p.learn(now, a, a.FirstEventReported(now, b.First))
 		}
 	}
 	for _, number := range reports.Ended {
@@ -213,7 +215,7 @@
 			delete(r.open, number)
 		}
 	}
-	p.pool.Heard(now, reports.Troubles)
+	p.pool.ApplyTroubles(now, reports.Troubles)
 	return r
 }
 
@@ -239,15 +241,15 @@
 	q := &backends.Query{Pool: ask.Pool, Zone: ask.Zone, Model: ask.Model, Key: ask.Key, Target: ask.Target, Patience: ask.Patience, GapTarget: ask.GapTarget,
 		Shared: ask.Shared, Work: backends.Work{Prompt: ask.Own, Most: ask.Most}, Slots: ask.Slots, Capacity: ask.Capacity,
 		Tried: ask.Tried, Draw: rand.Float64()}
-	q.Cold = func(version int) int { return p.parts.cold(now, ask, version) }
+	q.UncachedTokens = func(version int) int { return p.parts.cold(now, ask, version) }
 	if n := len(ask.Parts); n > 0 {
 		q.Holder = func(version int) string { return p.parts.holder(now, ask.Parts[n-1].Hash, version) }
 	}
 	return q
 }
 
-// Ask is a router's question for a query.
-func Ask(q *backends.Query) *coordapi.Place {
+// NewRequest is a router's question for a query.
+func NewRequest(q *backends.Query) *coordapi.Place {
 	return &coordapi.Place{Pool: q.Pool, Zone: q.Zone, Model: q.Model, Key: q.Key, Target: q.Target, Patience: q.Patience, GapTarget: q.GapTarget, Shared: q.Shared,
 		Own: q.Work.Prompt, Most: q.Work.Most, Slots: q.Slots, Capacity: q.Capacity, Tried: q.Tried, Parts: q.Parts, Request: q.Request, Store: q.Store, StoreTokens: q.StoreTokens, Tenant: q.Tenant, Amount: q.Amount, Claimant: q.Claimant}
 }
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -94,7 +94,7 @@
 }
 
 func open(p *Placer) int {
-	placements, _ := p.Open()
+	placements, _ := p.OpenPlacements()
 	return placements
 }
 
@@ -103,9 +103,9 @@
 	p.Place(0, long("r", 1, "k"))
 	p.Place(0, long("r", 2, "k"))
 	ended := &coordapi.Reports{Begun: []coordapi.Begun{{Number: 1, First: 300 * time.Millisecond}, {Number: 9}}, Ended: []uint64{1, 7, 1}}
-	p.Report(time.Second, "r", ended)
-	p.Report(time.Second, "r", ended)
-	p.Report(time.Second, "another", ended)
+	p.ApplyReports(time.Second, "r", ended)
+	p.ApplyReports(time.Second, "r", ended)
+	p.ApplyReports(time.Second, "another", ended)
 	assert.Equal(t, open(p), 1)
 }
 
@@ -116,7 +116,7 @@
 		ask := long("r", number, "k")
 		ask.Own += int(number) * 100
 		p.Place(time.Second, ask)
-		p.Report(time.Second, "r", &coordapi.Reports{Begun: []coordapi.Begun{{Number: number, First: time.Duration(number%2) * time.Hour}}, Ended: []uint64{number}})
+		p.ApplyReports(time.Second, "r", &coordapi.Reports{Begun: []coordapi.Begun{{Number: number, First: time.Duration(number%2) * time.Hour}}, Ended: []uint64{number}})
 	}
 	last := long("r", 1000, "k")
 	last.Own = 20_000
@@ -129,8 +129,8 @@
 	p := newTestPlacer(1)
 	p.Place(0, long("gone", 1, "k"))
 	p.Place(0, long("here", 1, "k"))
-	p.Report(routerKept, "here", &coordapi.Reports{})
-	p.Report(routerKept+routerKept/2, "here", &coordapi.Reports{})
+	p.ApplyReports(routerKept, "here", &coordapi.Reports{})
+	p.ApplyReports(routerKept+routerKept/2, "here", &coordapi.Reports{})
 	assert.Equal(t, open(p), 1)
 }
 
@@ -139,7 +139,7 @@
 func TestAnEngineThatOneRouterCannotReachIsAvoidedForAll(t *testing.T) {
 	p := newTestPlacer(3)
 	first := p.Place(0, long("a", 1, "k"))
-	p.Report(0, "a", &coordapi.Reports{Troubles: []coordapi.Trouble{{ID: first.ID, Kind: coordapi.Unreachable}, {ID: "unheard of", Kind: coordapi.Failed}}})
+	p.ApplyReports(0, "a", &coordapi.Reports{Troubles: []coordapi.Trouble{{ID: first.ID, Kind: coordapi.Unreachable}, {ID: "unheard of", Kind: coordapi.Failed}}})
 	assert.Assert(t, p.Place(0, long("b", 1, "k")).ID != first.ID)
 }
 
@@ -155,24 +155,24 @@
 	answered := func(now time.Duration) {
 		for number, id := range at {
 			if id != dark {
-				p.Report(now, "r", &coordapi.Reports{Begun: []coordapi.Begun{{Number: number, First: 200 * time.Millisecond}}})
+				p.ApplyReports(now, "r", &coordapi.Reports{Begun: []coordapi.Begun{{Number: number, First: 200 * time.Millisecond}}})
 			}
 		}
 	}
 	answered(500 * time.Millisecond)
-	assert.Equal(t, p.Quiet(500*time.Millisecond), 0)
+	assert.Equal(t, p.UnresponsiveEngines(500*time.Millisecond), 0)
 	now := 3400 * time.Millisecond
 	answered(now)
-	assert.Equal(t, p.Quiet(now), 1)
+	assert.Equal(t, p.UnresponsiveEngines(now), 1)
 	assert.Assert(t, p.Place(now, long("r", 20, "k")).ID != dark)
-	p.Report(now, "r", &coordapi.Reports{Begun: []coordapi.Begun{{Number: 0, First: now}}})
-	assert.Equal(t, p.Quiet(now), 0, "one sign of life is enough")
+	p.ApplyReports(now, "r", &coordapi.Reports{Begun: []coordapi.Begun{{Number: 0, First: now}}})
+	assert.Equal(t, p.UnresponsiveEngines(now), 0, "one sign of life is enough")
 }
 
 func TestTroublesNeverEmptyAPool(t *testing.T) {
 	p := newTestPlacer(2)
 	for _, id := range []string{"e000", "e001"} {
-		p.Report(0, "a", &coordapi.Reports{Troubles: []coordapi.Trouble{{ID: id, Kind: coordapi.Unreachable}, {ID: id, Kind: coordapi.Failed}}})
+		p.ApplyReports(0, "a", &coordapi.Reports{Troubles: []coordapi.Trouble{{ID: id, Kind: coordapi.Unreachable}, {ID: id, Kind: coordapi.Failed}}})
 	}
 	assert.Assert(t, p.Place(0, long("b", 1, "k")).ID != "")
 }
@@ -184,7 +184,7 @@
 	for i := range 50 {
 		key := fmt.Sprint("key-", i)
 		homes[key] = p.Place(time.Duration(i)*time.Second, long("r", uint64(i), key)).ID
-		p.Report(time.Duration(i)*time.Second, "r", &coordapi.Reports{Ended: []uint64{uint64(i)}})
+		p.ApplyReports(time.Duration(i)*time.Second, "r", &coordapi.Reports{Ended: []uint64{uint64(i)}})
 	}
 	// Half of the last keys would have their homes among the new engines.
 	p.Apply(engines(4), nil, false)
--- a/internal/placer/pushback_test.go
+++ b/internal/placer/pushback_test.go
@@ -74,7 +74,7 @@
 			}
 			if !sheds {
 				served = true
-				p.Report(now, router, &coordapi.Reports{Begun: []coordapi.Begun{{Number: number, First: 20 * time.Millisecond}}})
+				p.ApplyReports(now, router, &coordapi.Reports{Begun: []coordapi.Begun{{Number: number, First: 20 * time.Millisecond}}})
 				ended[router] = append(ended[router], number)
 				break
 			}
--- a/internal/placer/store.go
+++ b/internal/placer/store.go
@@ -17,7 +17,7 @@
 	received int
 	parts    map[partKey]stored
 	// delay is how much longer than expected requests take that move parts from it.
-	delay speed.Delay
+	delay speed.DelayEstimator
 }
 
 // stored is a part in a store.
--- a/internal/placer/store_test.go
+++ b/internal/placer/store_test.go
@@ -67,7 +67,7 @@
 		if placed.Source == a.Store {
 			first += delay
 		}
-		p.Report(now, "r", &coordapi.Reports{Begun: []coordapi.Begun{{Number: number, First: first}}, Ended: []uint64{number}})
+		p.ApplyReports(now, "r", &coordapi.Reports{Begun: []coordapi.Begun{{Number: number, First: first}}, Ended: []uint64{number}})
 		return placed.Source, placed.Save
 	}
 	now := time.Second
--- a/internal/speed/speed.go
+++ b/internal/speed/speed.go
@@ -26,11 +26,11 @@
 	mostRate  TokensPerMs = 5000
 )
 
-// Reading estimates the reading speed of like engines. A request's wait grows
+// Estimator estimates the reading speed of like engines. A request's wait grows
 // with the tokens that its engine reads up to its first event; the slope of a
 // line through the samples is the time of a token, whatever a request costs
 // besides. It is not safe for concurrent use. The zero value is ready.
-type Reading struct {
+type Estimator struct {
 	// Sums over the samples, older ones weighing less: weight, tokens, waits in
 	// milliseconds, squares of tokens and of waits, and their products.
 	n, tokens, waits, squares, waitSquares, products float64
@@ -38,7 +38,7 @@
 
 // Observe takes a request's tokens, with those that the engine had to read
 // before it, and the wait for its first event.
-func (r *Reading) Observe(tokens int, wait time.Duration) {
+func (r *Estimator) Observe(tokens int, wait time.Duration) {
 	t, w := float64(tokens), float64(wait)/float64(time.Millisecond)
 	for _, sum := range []*float64{&r.n, &r.tokens, &r.waits, &r.squares, &r.waitSquares, &r.products} {
 		*sum *= keep
@@ -52,7 +52,7 @@
 }
 
 // Rate returns the estimate.
-func (r *Reading) Rate() TokensPerMs {
+func (r *Estimator) Rate() TokensPerMs {
 	const prior = priorTokens * priorTokens
 	spread, joint := float64(prior), prior/float64(priorRate)
 	if r.n > 0 {
@@ -65,9 +65,9 @@
 	return TokensPerMs(math.Min(math.Max(spread/joint, float64(leastRate)), float64(mostRate)))
 }
 
-// Spread is how uncertain the rate is: the standard error of the slope, as a part of it,
+// RelativeError is how uncertain the rate is: the standard error of the slope, as a part of it,
 // by how far the samples lie from the line. 1 while nothing is known.
-func (r *Reading) Spread() float64 {
+func (r *Estimator) RelativeError() float64 {
 	if r.n < 3 {
 		return 1
 	}
@@ -91,11 +91,11 @@
 	return int(float64(r) * float64(d) / float64(time.Millisecond))
 }
 
-// Delay follows how much longer than expected something takes lately: about the
+// DelayEstimator follows how much longer than expected something takes lately: about the
 // median, so that a few slow ones prove nothing. It falls by itself, so that what
 // was avoided for its delay is tried again. It is not safe for concurrent use.
 // The zero value is ready.
-type Delay struct {
+type DelayEstimator struct {
 	value float64
 	at    time.Duration
 }
@@ -108,13 +108,13 @@
 )
 
 // Observe takes a sample.
-func (d *Delay) Observe(now, excess time.Duration) {
+func (d *DelayEstimator) Observe(now, excess time.Duration) {
 	value := float64(d.At(now))
 	d.value = value + min(max(float64(excess)-value, -step), step)
 	d.at = now
 }
 
 // At returns the delay as of now.
-func (d *Delay) At(now time.Duration) time.Duration {
+func (d *DelayEstimator) At(now time.Duration) time.Duration {
 	return time.Duration(d.value * math.Exp2(-float64(now-d.at)/float64(fallTime)))
 }
--- a/internal/speed/speed_test.go
+++ b/internal/speed/speed_test.go
@@ -24,13 +24,13 @@
 		rate := rapid.Float64Range(5, 200).Draw(t, "rate")
 		besides := rapid.Float64Range(0, 60).Draw(t, "besides")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		var r Reading
+		var r Estimator
 		for range 200 {
 			r.Observe(sample(random, rate, besides))
 		}
 		// At 200 tokens a millisecond beside 60 ms of other time reading takes 33 ms at most,
 		// and the rest varies by as much: no slope through 200 samples is sure to 0.3 there.
-		spread := r.Spread()
+		spread := r.RelativeError()
 		assert.Assert(t, spread < 0.6, "%v", spread)
 		off := math.Abs(float64(rate)/float64(r.Rate()) - 1)
 		// The rate that is assumed at first still weighs a little.
@@ -44,19 +44,19 @@
 // The draw at which the learned rate was off by more than it may be.
 func TestASlopeOfFewMillisecondsSaysThatItIsUncertain(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 0))
-	var sure, unsure Reading
-	assert.Equal(t, sure.Spread(), 1.0)
+	var sure, unsure Estimator
+	assert.Equal(t, sure.RelativeError(), 1.0)
 	for range 200 {
 		sure.Observe(sample(random, 20, 20))
 		unsure.Observe(sample(random, 200, 60))
 	}
-	assert.Assert(t, sure.Spread() < 0.03, "%v", sure.Spread())
-	assert.Assert(t, unsure.Spread() > 0.07, "%v", unsure.Spread())
+	assert.Assert(t, sure.RelativeError() < 0.03, "%v", sure.RelativeError())
+	assert.Assert(t, unsure.RelativeError() > 0.07, "%v", unsure.RelativeError())
 }
 
 func TestARateThatFallsIsLearnedAnew(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	var r Reading
+	var r Estimator
 	for range 500 {
 		r.Observe(sample(random, 60, 20))
 	}
@@ -67,7 +67,7 @@
 }
 
 func TestNonsenseStaysInBounds(t *testing.T) {
-	var r Reading
+	var r Estimator
 	for range 100 {
 		r.Observe(1000, time.Hour)
 		r.Observe(100000, 0)
@@ -75,8 +75,8 @@
 	assert.Equal(t, r.Rate(), mostRate)
 }
 
-func ExampleReading() {
-	var r Reading
+func ExampleEstimator() {
+	var r Estimator
 	fmt.Println(r.Rate())
 	for i := range 100 {
 		tokens := 1000 * (1 + i%5)
@@ -91,7 +91,7 @@
 }
 
 func TestADelayIsThatOfMostSamplesAndIsForgotten(t *testing.T) {
-	var d Delay
+	var d DelayEstimator
 	now := time.Duration(0)
 	observe := func(excess ...time.Duration) {
 		for range 30 {
--- a/internal/weights/example_test.go
+++ b/internal/weights/example_test.go
@@ -11,7 +11,7 @@
 // one: the version between costs it no load.
 func ExampleConfig_Next() {
 	config := weights.Config{Deadline: 8 * time.Second, Guard: time.Second, Grace: 1500 * time.Millisecond, Divisor: 4}
-	versions := []weights.Version{{Number: 2, From: 0}, {Number: 3, From: 4 * time.Second}}
+	versions := []weights.Version{{Number: 2, Start: 0}, {Number: 3, Start: 4 * time.Second}}
 	engines := []weights.Engine{{ID: "a", Version: 2}, {ID: "b", Version: 1}, {ID: "c", Version: 2}}
 
 	plan := config.Next(5*time.Second, versions, engines, false)
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -15,14 +15,14 @@
 // Version is a named version of a model's weights.
 type Version struct {
 	Number int
-	// From is when its time began, by the planner's clock.
-	From time.Duration
+	// Start is when its time began, by the planner's clock.
+	Start time.Duration
 }
 
-// Began returns when a version's time began, for a leader since the given time.
+// EffectiveStart returns when a version's time began, for a leader since the given time.
 // A change of leaders before the deadline means that the group was disturbed,
 // and the time counts anew; one after the deadline changes nothing.
-func Began(seen, since, deadline time.Duration) time.Duration {
+func EffectiveStart(seen, since, deadline time.Duration) time.Duration {
 	if since > seen && since <= seen+deadline {
 		return since
 	}
@@ -45,16 +45,16 @@
 	Deadline time.Duration
 	// Guard is how long before the deadline routers stop using older versions.
 	Guard time.Duration
-	// Cut is how long before the deadline requests are given up that wait at an
+	// CancelLead is how long before the deadline requests are given up that wait at an
 	// engine with an older version.
-	Cut time.Duration
+	CancelLead time.Duration
 	// Grace is how long after a version's naming answers of older ones keep their
 	// whole worth.
 	Grace time.Duration
-	// PerLoad is about how long a load takes, and Margin the time to spare when
+	// LoadTime is about how long a load takes, and Margin the time to spare when
 	// loads are put off.
-	PerLoad time.Duration
-	Margin  time.Duration
+	LoadTime time.Duration
+	Margin   time.Duration
 	// Divisor is how many engines there are for each load at a time.
 	Divisor int
 }
@@ -83,13 +83,13 @@
 	}
 	plan.Target = versions[len(versions)-1].Number
 	for _, v := range versions {
-		if now >= v.From+c.Deadline-c.Guard {
+		if now >= v.Start+c.Deadline-c.Guard {
 			plan.Minimum = v.Number
 		}
-		if now >= v.From+c.Deadline-c.Cut {
+		if now >= v.Start+c.Deadline-c.CancelLead {
 			plan.Expired = v.Number
 		}
-		if now >= v.From+c.Grace {
+		if now >= v.Start+c.Grace {
 			plan.Preferred = v.Number
 		}
 	}
@@ -136,14 +136,14 @@
 		}
 	}
 	waves := (count + parallel - 1) / parallel
-	return now >= deadline-c.Guard-c.Margin-time.Duration(waves)*c.PerLoad
+	return now >= deadline-c.Guard-c.Margin-time.Duration(waves)*c.LoadTime
 }
 
 // deadlineOf returns when an engine with this version, which is not the newest,
 // may start no more requests.
 func (c Config) deadlineOf(versions []Version, held int) time.Duration {
 	i := slices.IndexFunc(versions, func(v Version) bool { return v.Number > held })
-	return versions[i].From + c.Deadline
+	return versions[i].Start + c.Deadline
 }
 
 // leastParallel is how many engines of a small pool load at a time.
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -10,7 +10,7 @@
 )
 
 func config() Config {
-	return Config{Deadline: 8 * time.Second, Guard: 1400 * time.Millisecond, Cut: 250 * time.Millisecond, Divisor: 4}
+	return Config{Deadline: 8 * time.Second, Guard: 1400 * time.Millisecond, CancelLead: 250 * time.Millisecond, Divisor: 4}
 }
 
 // loadTime is how long a load takes in these tests.
@@ -28,7 +28,7 @@
 // lost a fifth of its worth.
 func TestEnginesAreBroughtAtOnceAFewAtATime(t *testing.T) {
 	c := config()
-	versions := []Version{{Number: 2, From: 0}}
+	versions := []Version{{Number: 2, Start: 0}}
 	pool := engines(12, 1)
 	first := c.Next(0, versions, pool, false).Load
 	assert.DeepEqual(t, first, []string{"e00", "e01", "e02"})
@@ -44,8 +44,8 @@
 // engines are behind with reading, there is none to spare.
 func TestLoadsArePutOffWhileEnginesAreCrowded(t *testing.T) {
 	c := config()
-	c.PerLoad, c.Margin = 800*time.Millisecond, 700*time.Millisecond
-	versions := []Version{{Number: 2, From: 0}}
+	c.LoadTime, c.Margin = 800*time.Millisecond, 700*time.Millisecond
+	versions := []Version{{Number: 2, Start: 0}}
 	assert.Equal(t, len(c.Next(0, versions, engines(12, 1), true).Load), 0)
 	// 12 engines by threes are 4 loads of 0.8 s: due at 8 - 1.4 - 0.7 - 3.2.
 	assert.Equal(t, len(c.Next(2600*time.Millisecond, versions, engines(12, 1), true).Load), 0)
@@ -61,7 +61,7 @@
 }
 
 func TestVersionsThatFollowShareALoad(t *testing.T) {
-	plan := config().Next(5*time.Second, []Version{{Number: 2}, {Number: 3, From: 3 * time.Second}}, engines(12, 1), false)
+	plan := config().Next(5*time.Second, []Version{{Number: 2}, {Number: 3, Start: 3 * time.Second}}, engines(12, 1), false)
 	assert.Equal(t, plan.Target, 3)
 }
 
@@ -79,7 +79,7 @@
 func TestAVersionIsPreferredOnceOlderOnesLoseWorth(t *testing.T) {
 	c := config()
 	c.Grace = 1300 * time.Millisecond
-	versions := []Version{{Number: 2}, {Number: 3, From: time.Second}}
+	versions := []Version{{Number: 2}, {Number: 3, Start: time.Second}}
 	assert.Equal(t, c.Next(1200*time.Millisecond, versions, nil, false).Preferred, 0)
 	assert.Equal(t, c.Next(1300*time.Millisecond, versions, nil, false).Preferred, 2)
 	assert.Equal(t, c.Next(2300*time.Millisecond, versions, nil, false).Preferred, 3)
@@ -89,9 +89,9 @@
 // the next leader, although its time was over.
 func TestAChangeOfLeadersAfterTheDeadlineGivesNoMoreTime(t *testing.T) {
 	deadline := 8 * time.Second
-	assert.Equal(t, Began(3*time.Second, 11500*time.Millisecond, deadline), 3*time.Second)
-	assert.Equal(t, Began(3*time.Second, 9*time.Second, deadline), 9*time.Second)
-	assert.Equal(t, Began(3*time.Second, time.Second, deadline), 3*time.Second)
+	assert.Equal(t, EffectiveStart(3*time.Second, 11500*time.Millisecond, deadline), 3*time.Second)
+	assert.Equal(t, EffectiveStart(3*time.Second, 9*time.Second, deadline), 9*time.Second)
+	assert.Equal(t, EffectiveStart(3*time.Second, time.Second, deadline), 3*time.Second)
 }
 
 // TestEveryEngineIsBroughtInTime plays rollouts with loads of 0.8 s, wherever
@@ -110,7 +110,7 @@
 		var versions []Version
 		at := time.Duration(0)
 		for i := range rapid.IntRange(1, 4).Draw(t, "versions") {
-			versions = append(versions, Version{Number: i + 2, From: at})
+			versions = append(versions, Version{Number: i + 2, Start: at})
 			at += time.Duration(rapid.IntRange(1000, 6000).Draw(t, "gap")) * time.Millisecond
 		}
 		playRollout(t, c, versions, engines(count, 1))
@@ -123,9 +123,9 @@
 	const step = 20 * time.Millisecond
 	until := map[string]time.Duration{}
 	target := map[string]int{}
-	for now := time.Duration(0); now < versions[len(versions)-1].From+c.Deadline; now += step {
+	for now := time.Duration(0); now < versions[len(versions)-1].Start+c.Deadline; now += step {
 		named := 0
-		for named < len(versions) && versions[named].From <= now {
+		for named < len(versions) && versions[named].Start <= now {
 			named++
 		}
 		for i := range pool {
