--- a/internal/backends/choose.go
+++ b/internal/backends/choose.go
@@ -116,7 +116,7 @@
 	// Right is the right to send to a back end that takes only so much from all machines; nil
 	// where there is none. If nothing was found, Room is when there is room at one such, 0
 	// if that is not why.
-	Right *ratelimit.Right
+	Right *ratelimit.Permit
 	Room  time.Duration
 }
 
--- a/internal/backends/herd_test.go
+++ b/internal/backends/herd_test.go
@@ -78,11 +78,11 @@
 // share brings each router the work of all, as they told it one interval ago.
 func (f *fleet) share(now time.Duration, told []coordapi.Load) []coordapi.Load {
 	for _, p := range f.routers {
-		p.Others(now, told, f.interval, true)
+		p.SetTotalLoads(now, told, f.interval, true)
 	}
 	sums := map[string]coordapi.Load{}
 	for _, p := range f.routers {
-		for _, l := range p.Own() {
+		for _, l := range p.OwnLoads() {
 			s := sums[l.ID]
 			sums[l.ID] = coordapi.Load{ID: l.ID, Running: s.Running + l.Running}
 		}
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -216,9 +216,9 @@
 	}
 }
 
-// Others takes the work of all routers together, this one's among it, as it was
+// SetTotalLoads takes the work of all routers together, this one's among it, as it was
 // age ago in the mean. Without engines, what was heard of those stays.
-func (p *Pool) Others(now time.Duration, loads []coordapi.Load, age time.Duration, engines bool) {
+func (p *Pool) SetTotalLoads(now time.Duration, loads []coordapi.Load, age time.Duration, engines bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range p.rows {
@@ -239,8 +239,8 @@
 // age is how old the others' work is.
 func (p *Pool) age(now time.Duration) time.Duration { return now - p.othersAt + p.othersAge }
 
-// Own returns this router's work under way.
-func (p *Pool) Own() []coordapi.Load {
+// OwnLoads returns this router's work under way.
+func (p *Pool) OwnLoads() []coordapi.Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []coordapi.Load
--- a/internal/backends/shard_test.go
+++ b/internal/backends/shard_test.go
@@ -51,8 +51,8 @@
 	p, outside := narrowed(t, coordapi.Shard{Index: 1, Count: 4}, func(*Pool) {})
 	q := &Query{Pool: "llm", Model: "m", Slots: 16}
 	a := p.Begin(0, placedAt(outside), q, func(error) {})
-	assert.Equal(t, len(p.Own()), 1)
-	assert.Assert(t, p.Own()[0].Engine)
+	assert.Equal(t, len(p.OwnLoads()), 1)
+	assert.Assert(t, p.OwnLoads()[0].Engine)
 	p.Failed(time.Second, outside.ID)
 	troubles := p.Troubles()
 	assert.Equal(t, len(troubles), 1)
--- a/internal/bounded/bounded_test.go
+++ b/internal/bounded/bounded_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestLinesAreBoundedWithinASecond(t *testing.T) {
-	var l Lines
+	var l LineLimiter
 	allowed := func(now time.Duration, most int) (n int) {
 		for range 10 {
 			if l.Allow(now, most) {
--- a/internal/bounded/lines.go
+++ b/internal/bounded/lines.go
@@ -8,9 +8,9 @@
 // linesTime is the time for which Lines counts.
 const linesTime = time.Second
 
-// Lines bounds the log lines on one matter: others may bring it up with each word that they
+// LineLimiter bounds the log lines on one matter: others may bring it up with each word that they
 // say. The zero value has none. It is safe for concurrent use.
-type Lines struct {
+type LineLimiter struct {
 	mu    sync.Mutex
 	from  time.Duration
 	count int
@@ -18,7 +18,7 @@
 
 // Allow tells whether one more line may be written, of at most a number within a second, and
 // counts it.
-func (l *Lines) Allow(now time.Duration, most int) bool {
+func (l *LineLimiter) Allow(now time.Duration, most int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.count == 0 || now >= l.from+linesTime {
--- a/internal/coordinator/calls.go
+++ b/internal/coordinator/calls.go
@@ -175,13 +175,13 @@
 	now := s.now()
 	s.takeReports(now, ask.Router, &ask.Reports)
 	s.placer.Report(now, ask.Router, &ask.Reports)
-	verdict := s.backendLimits.Take(now, ratelimit.Wish{Router: ask.Router, Number: ask.Number, Backend: ask.Backend, Claimant: ask.Claimant})
-	claimed := &coordapi.Claimed{Free: verdict.Free, Wait: verdict.Wait}
+	verdict := s.backendLimits.Take(now, ratelimit.Request{Router: ask.Router, Number: ask.Number, Backend: ask.Backend, Claimant: ask.Claimant})
+	claimed := &coordapi.Claimed{Free: verdict.Unlimited, Wait: verdict.Wait}
 	switch {
 	case verdict.Granted:
-		claimed.Right = ratelimit.Term
-	case !verdict.Free:
-		claimed.Room = s.backendLimits.Room(now, ask.Pool)
+		claimed.Right = ratelimit.PermitTTL
+	case !verdict.Unlimited:
+		claimed.Room = s.backendLimits.RetryAfter(now, ask.Pool)
 	}
 	return coordapi.Reply{Claimed: claimed}
 }
@@ -198,8 +198,8 @@
 // takeReports takes what a router has to say, but for what concerns placements.
 func (s *Server) takeReports(now time.Duration, router string, reports *coordapi.Reports) {
 	s.limits.charge(now, reports.Spent)
-	s.placer.Reopen(now, s.backendLimits.Hear(now, reports.Limits))
-	s.placer.Reopen(now, s.backendLimits.Unused(now, router, reports.Unused))
+	s.placer.Reopen(now, s.backendLimits.Observe(now, reports.Limits))
+	s.placer.Reopen(now, s.backendLimits.Release(now, router, reports.Unused))
 	s.blocking.take(now, router, reports)
 	s.drain(router, draining(reports.Troubles))
 }
--- a/internal/coordinator/enginecalls.go
+++ b/internal/coordinator/enginecalls.go
@@ -20,7 +20,7 @@
 type EngineCalls struct {
 	headers   vocabulary.Headers
 	pushbacks *pushback.Register
-	limits    *ratelimit.Register
+	limits    *ratelimit.Registry
 	pool      *upstream.Pool
 }
 
@@ -75,9 +75,9 @@
 // Limits implements Engines.
 func (e *EngineCalls) Limits(all bool) []coordapi.LimitWord {
 	if all {
-		e.limits.TellAgain()
+		e.limits.ReportAgain()
 	}
-	return e.limits.News()
+	return e.limits.TakeUnreported()
 }
 
 // draining are the back ends of which troubles say that they drain.
--- a/internal/coordinator/enginecalls_test.go
+++ b/internal/coordinator/enginecalls_test.go
@@ -31,7 +31,7 @@
 	assert.Assert(t, words[0].ID == "x" && words[0].Pool == "llm" && words[0].Rate == 2, "%+v", words[0])
 	assert.Equal(t, len(calls.Limits(false)), 0)
 	assert.Equal(t, len(calls.Limits(true)), 1, "to a new leader")
-	assert.ErrorIs(t, calls.Load(context.Background(), LoadOrder{Target: to}), ratelimit.ErrNoRight)
-	to.Right = ratelimit.Free("x")
+	assert.ErrorIs(t, calls.Load(context.Background(), LoadOrder{Target: to}), ratelimit.ErrNoPermit)
+	to.Right = ratelimit.UnlimitedPermit("x")
 	assert.NilError(t, calls.Load(context.Background(), LoadOrder{Target: to}))
 }
--- a/internal/coordinator/limits.go
+++ b/internal/coordinator/limits.go
@@ -31,8 +31,8 @@
 
 	mu sync.Mutex
 	// bank and repeats are nil while this node does not lead.
-	bank    *quota.Bank
-	repeats *quota.Repeats
+	bank    *quota.Limiter
+	repeats *quota.SharedRetries
 	// leasedUntil is the end of the lease, as seen last.
 	leasedUntil time.Duration
 	// configuredAt is the revision of the configuration whose limits the bank has.
@@ -44,7 +44,7 @@
 func newLimits(config settings.Coordinator, decode Decode, logger *slog.Logger) *limits {
 	return &limits{decode: decode, logger: logger,
 		tolerance: quota.Tolerance{Window: config.QuotaWindow, Overshoot: config.QuotaOvershoot, Slack: quota.Amount(config.QuotaSlack),
-			Changes: borneChanges}}
+			LeaderChanges: borneChanges}}
 }
 
 // reset begins or ends a leadership.
@@ -53,7 +53,7 @@
 	defer l.mu.Unlock()
 	l.bank, l.repeats, l.leasedUntil, l.configuredAt, l.shares = nil, nil, 0, 0, nil
 	if leads {
-		l.bank, l.repeats = quota.NewBank(l.tolerance), quota.NewRepeats()
+		l.bank, l.repeats = quota.NewLimiter(l.tolerance), quota.NewSharedRetries()
 	}
 }
 
@@ -79,7 +79,7 @@
 		return
 	}
 	set := table.TenantLimits()
-	l.bank.Set(now, set)
+	l.bank.SetLimits(now, set)
 	l.logger.Info("limits in force", "part", "limits", "version", table.Version, "tenants", len(set))
 }
 
@@ -146,7 +146,7 @@
 		return nil
 	}
 	var out []coordapi.TenantLimit
-	for _, u := range l.bank.Uses(now) {
+	for _, u := range l.bank.Usage(now) {
 		out = append(out, coordapi.TenantLimit{Name: u.Name, Rate: float64(u.Rate), Burst: float64(u.Burst), Asked: float64(u.Asked), Refused: float64(u.Refused)})
 	}
 	return out
--- a/internal/coordinator/orders.go
+++ b/internal/coordinator/orders.go
@@ -24,7 +24,7 @@
 	// Instance is how the engine names itself.
 	Instance string
 	// Right is needed where the engine takes only so much from all machines; else nil.
-	Right *ratelimit.Right `json:"-"`
+	Right *ratelimit.Permit `json:"-"`
 }
 
 func targetOf(row state.Backend) Target {
@@ -236,18 +236,18 @@
 // and returns false if there is none now. A call outranks all requests: those at an engine
 // that holds old weights soon get none at all.
 func (s *Server) takeRight(to *Target) bool {
-	s.backendLimits.Hear(s.now(), s.engines.Limits(false))
+	s.backendLimits.Observe(s.now(), s.engines.Limits(false))
 	number, asked := s.rightNumber.Add(1), clock.Now()
-	verdict := s.backendLimits.Take(s.now(), ratelimit.Wish{Router: s.settings.Name, Number: number, Backend: to.Backend,
+	verdict := s.backendLimits.Take(s.now(), ratelimit.Request{Router: s.settings.Name, Number: number, Backend: to.Backend,
 		Claimant: coordapi.Claimant{Urgency: ordersUrgency}})
-	to.Right = verdict.Right(to.Backend, number, asked)
-	return verdict.Sends()
+	to.Right = verdict.Permit(to.Backend, number, asked)
+	return verdict.Allowed()
 }
 
 // settleRight gives a right back if nothing was sent.
 func (s *Server) settleRight(to Target, err error) {
 	if errors.Is(err, upstream.ErrNotSent) && to.Right != nil {
-		s.backendLimits.Unused(s.now(), s.settings.Name, []uint64{to.Right.Number()})
+		s.backendLimits.Release(s.now(), s.settings.Name, []uint64{to.Right.Number()})
 	}
 }
 
@@ -256,7 +256,7 @@
 	defer cancel()
 	to := targetOf(row)
 	if !s.takeRight(&to) {
-		return EngineReport{}, ratelimit.ErrNoRight
+		return EngineReport{}, ratelimit.ErrNoPermit
 	}
 	report, err := s.engines.Report(ctx, to)
 	s.settleRight(to, err)
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -61,7 +61,7 @@
 	// unreadable counts what was said in back ends' names and could not be read, and
 	// unreadableLines the log lines on it.
 	unreadable      atomic.Uint64
-	unreadableLines bounded.Lines
+	unreadableLines bounded.LineLimiter
 	listener        *peer.Server
 	metrics         *http.Server
 	// clock is clock.Now but in tests.
@@ -75,7 +75,7 @@
 	placer *placer.Placer
 	limits *limits
 	// backendLimits counts what back ends get that take only so much from all machines.
-	backendLimits *ratelimit.Bank
+	backendLimits *ratelimit.Limiter
 	// borrowing is which routers borrow repeats.
 	borrowing borrowing
 	// rightNumber counts the rights that this node takes for its own calls to engines.
@@ -102,7 +102,7 @@
 // New provisions a coordinator. Engines carries orders to model engines, and decode
 // reads the configurations that operators send.
 func New(config settings.Coordinator, engines Engines, decode Decode, logger *slog.Logger) (*Server, error) {
-	backendLimits := ratelimit.NewBank(logger)
+	backendLimits := ratelimit.NewLimiter(logger)
 	s := &Server{settings: config, logger: logger, counters: &peer.Counters{}, engines: engines, decode: decode,
 		clock: clock.Now, started: clock.Now(), placer: placer.New(backendLimits), limits: newLimits(config, decode, logger), backendLimits: backendLimits,
 		blocking: newBlocking(config.BackendHeartbeat, logger)}
@@ -278,8 +278,8 @@
 	s.soft.reset(s.now())
 	s.placer.Reset()
 	s.limits.reset(status.Role == raft.Leader)
-	s.backendLimits.Lead(status.Role == raft.Leader)
-	s.backendLimits.Hear(s.now(), s.engines.Limits(true))
+	s.backendLimits.SetLeading(status.Role == raft.Leader)
+	s.backendLimits.Observe(s.now(), s.engines.Limits(true))
 	s.blocking.reset(status.Role == raft.Leader)
 	s.leading.Store(status.Role == raft.Leader)
 	s.notify.wake()
@@ -293,7 +293,7 @@
 	s.enrolment.lose()
 	s.leading.Store(false)
 	s.limits.reset(false)
-	s.backendLimits.Lead(false)
+	s.backendLimits.SetLeading(false)
 	s.blocking.reset(false)
 	s.notify.wake()
 }
--- a/internal/coordinator/soft.go
+++ b/internal/coordinator/soft.go
@@ -329,7 +329,7 @@
 	s.rollout.note(now, d)
 	s.followPools(d)
 	s.limits.follow(now, s.core.LeaseUntil(), d)
-	s.backendLimits.Lease(s.core.LeaseUntil())
+	s.backendLimits.SetLease(s.core.LeaseUntil())
 	if s.lastRole != raft.Leader {
 		s.judgeRequests(now, d)
 		return
@@ -356,7 +356,7 @@
 // followLimits tells routers which back ends have a limit. That is a hint, which travels
 // with the next news: who was not told finds out with its first request there.
 func (s *Server) followLimits(now time.Duration) {
-	s.backendLimits.Hear(now, s.engines.Limits(false))
+	s.backendLimits.Observe(now, s.engines.Limits(false))
 	if s.backendLimits.Changes() == s.soft.limitedAt {
 		return
 	}
@@ -377,7 +377,7 @@
 		for i, departure := range gone {
 			departed[i] = departure.ID
 		}
-		s.backendLimits.Depart(departed)
+		s.backendLimits.Remove(departed)
 		s.placer.Apply(rows, departed, whole)
 		s.soft.placedAt = d.BackendsAt
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -63,7 +63,7 @@
 	saved, tenants, pushbacks := forward.NewSaved(), quota.NewGate(), pushback.New(headers, logger)
 	limits := ratelimit.New(headers, logger)
 	pool.Heed(pushbacks)
-	e.follower = follower.New(follower.Config{Name: config.Name, Zone: config.Zone, Seeds: config.Coordinators(), Right: config.RightLease(),
+	e.follower = follower.New(follower.Config{Name: config.Name, Zone: config.Zone, Seeds: config.Coordinators(), Lease: config.RightLease(),
 		Decode: decode, Pool: pool, Saved: saved, Quota: tenants, Pushbacks: pushbacks, Limits: limits, Peers: e.peers, Logger: logger})
 	e.handler = forward.New(forward.Config{Headers: headers, Source: e.follower, Placer: e.follower, Claimer: e.follower, Lender: e.follower, Observer: e.follower, Pool: pool, Saved: saved, Quota: tenants,
 		Upstream: upstream.NewPool(headers.RequestID, pushbacks, limits), Pushbacks: pushbacks, Limits: limits, Logger: logger,
@@ -93,7 +93,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
 	e.group.Go(func() { e.follower.Run(ctx) })
-	e.group.Go(func() { e.follower.Tell(ctx) })
+	e.group.Go(func() { e.follower.RunReports(ctx) })
 	e.group.Go(func() { periodic.Run(ctx, overdueEvery, e.handler.EndOverdue) })
 	if err := e.listen(e.readiness, e.settings.Readiness); err != nil {
 		return err
--- a/internal/follower/claim.go
+++ b/internal/follower/claim.go
@@ -17,7 +17,7 @@
 // much from all machines. Without one, wait is when the back end takes another, 0 if it
 // keeps its next place for others, and room when there is room for the request at some back
 // end of the pool, 0 if there was no answer: then nobody grants anything.
-func (f *Follower) Claim(ctx context.Context, q *backends.Query, id coordapi.BackendID) (right *ratelimit.Right, wait, room time.Duration) {
+func (f *Follower) Claim(ctx context.Context, q *backends.Query, id coordapi.BackendID) (right *ratelimit.Permit, wait, room time.Duration) {
 	leader := f.askable()
 	if leader == nil {
 		return nil, placePause, 0
@@ -28,15 +28,15 @@
 	if err != nil || reply.Claimed == nil {
 		// It may have been granted, and the reports may not have arrived.
 		f.keep(&ask.Reports)
-		f.config.Limits.Lost(ask.Number)
+		f.config.Limits.ReleaseNumbers(ask.Number)
 		f.unanswered(ctx, err)
 		return nil, placePause, 0
 	}
 	switch {
 	case reply.Claimed.Free:
-		return ratelimit.Free(id), 0, 0
+		return ratelimit.UnlimitedPermit(id), 0, 0
 	case reply.Claimed.Right > 0:
-		return ratelimit.Granted(id, ask.Number, asked, reply.Claimed.Right), 0, 0
+		return ratelimit.NewPermit(id, ask.Number, asked, reply.Claimed.Right), 0, 0
 	}
 	return nil, reply.Claimed.Wait, reply.Claimed.Room
 }
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -57,12 +57,12 @@
 	Narrow(shard coordapi.Shard)
 	// Note takes what only the leader knows.
 	Note(notes coordapi.Notes)
-	// Others takes the work of all routers together, as it was age ago in the mean;
+	// SetTotalLoads takes the work of all routers together, as it was age ago in the mean;
 	// engines says that it is of engines too.
-	Others(now time.Duration, loads []coordapi.Load, age time.Duration, engines bool)
-	// Own returns the work of this router that is under way. What it returned
-	// last counts as part of what Others brings.
-	Own() []coordapi.Load
+	SetTotalLoads(now time.Duration, loads []coordapi.Load, age time.Duration, engines bool)
+	// OwnLoads returns the work of this router that is under way. What it returned
+	// last counts as part of what SetTotalLoads brings.
+	OwnLoads() []coordapi.Load
 	// Troubles returns what attempts at engines have shown since the last call.
 	Troubles() []coordapi.Trouble
 	// Refused returns how many requests were refused since the last call because
@@ -80,8 +80,8 @@
 
 // Quota is a router's side of the tenants' limits.
 type Quota interface {
-	// Hear takes the tenants whose demand is above their limit.
-	Hear(now time.Duration, shares []quota.Share)
+	// SetShares takes the tenants whose demand is above their limit.
+	SetShares(now time.Duration, shares []quota.Share)
 	// Spent returns what this router has admitted by itself since the last call.
 	Spent() []quota.Spent
 }
@@ -123,7 +123,7 @@
 	Name   string
 	Zone   string
 	Seeds  []string
-	Right  time.Duration
+	Lease  time.Duration
 	Decode Decode
 	Pool   Pool
 	// Saved may be nil.
@@ -133,7 +133,7 @@
 	// Pushbacks is what back ends want from this router; nil for nothing.
 	Pushbacks *pushback.Register
 	// Limits is what back ends take from all routers together; nil for no limits.
-	Limits *ratelimit.Register
+	Limits *ratelimit.Registry
 	Peers  *peer.Client
 	Logger *slog.Logger
 }
@@ -281,20 +281,20 @@
 		f.config.Pool.Narrow(v.Shard)
 	}
 	if v.Announced != f.announced {
-		f.config.Pool.Others(f.now(), f.loads(v), v.LoadsAge, v.EngineLoads)
+		f.config.Pool.SetTotalLoads(f.now(), f.loads(v), v.LoadsAge, v.EngineLoads)
 	}
 	if v.Leader.Leadership() != f.token.Leadership() {
 		f.config.Pushbacks.TellAgain()
-		f.config.Limits.TellAgain()
+		f.config.Limits.ReportAgain()
 	}
 	if v.Leader != f.token {
 		f.config.Pool.Note(v.Notes)
-		f.config.Limits.Announced(v.Limited)
+		f.config.Limits.SetAnnounced(v.Limited)
 		f.evidence.hear(v.Leader, v.Suspects)
 	}
 	f.routers.Store(int64(v.Routers))
 	if f.config.Quota != nil {
-		f.config.Quota.Hear(f.now(), v.Shares)
+		f.config.Quota.SetShares(f.now(), v.Shares)
 	}
 	if len(v.Saved) > 0 && f.config.Saved != nil {
 		f.config.Saved.Learn(v.Saved)
@@ -305,7 +305,7 @@
 		f.members = v.Members
 	}
 	if f.table.Load() != nil {
-		f.rightUntil.Store(max(f.rightUntil.Load(), int64(sent+f.config.Right)))
+		f.rightUntil.Store(max(f.rightUntil.Load(), int64(sent+f.config.Lease)))
 	}
 	return true
 }
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -23,13 +23,13 @@
 // nobody takes what is said of back ends.
 type nobody struct{}
 
-func (nobody) Apply([]state.Backend, []string, bool)                      {}
-func (nobody) Refused() int                                               { return 0 }
-func (nobody) Note(coordapi.Notes)                                        {}
-func (nobody) Narrow(coordapi.Shard)                                      {}
-func (nobody) Troubles() []coordapi.Trouble                               { return nil }
-func (nobody) Others(time.Duration, []coordapi.Load, time.Duration, bool) {}
-func (nobody) Own() []coordapi.Load                                       { return nil }
+func (nobody) Apply([]state.Backend, []string, bool)                             {}
+func (nobody) Refused() int                                                      { return 0 }
+func (nobody) Note(coordapi.Notes)                                               {}
+func (nobody) Narrow(coordapi.Shard)                                             {}
+func (nobody) Troubles() []coordapi.Trouble                                      { return nil }
+func (nobody) SetTotalLoads(time.Duration, []coordapi.Load, time.Duration, bool) {}
+func (nobody) OwnLoads() []coordapi.Load                                         { return nil }
 
 // script is a coordinator that answers as it is told.
 type script struct {
@@ -82,7 +82,7 @@
 }
 
 func followWith(t *testing.T, pool Pool, right time.Duration, seeds ...string) *Follower {
-	f := New(Config{Name: "r", Seeds: seeds, Right: right, Decode: decode, Pool: pool, Saved: noParts{}, Peers: peer.NewClient(&peer.Counters{}),
+	f := New(Config{Name: "r", Seeds: seeds, Lease: right, Decode: decode, Pool: pool, Saved: noParts{}, Peers: peer.NewClient(&peer.Counters{}),
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -162,7 +162,7 @@
 // busy has work under way.
 type busy struct{ nobody }
 
-func (busy) Own() []coordapi.Load { return []coordapi.Load{{ID: "x", Running: 1}} }
+func (busy) OwnLoads() []coordapi.Load { return []coordapi.Load{{ID: "x", Running: 1}} }
 
 // noParts saves nothing.
 type noParts struct{}
@@ -181,7 +181,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		f.Tell(ctx)
+		f.RunReports(ctx)
 		close(done)
 	}()
 	defer func() {
--- a/internal/follower/place.go
+++ b/internal/follower/place.go
@@ -81,7 +81,7 @@
 		// It may have been placed, and the reports may not have arrived.
 		f.keep(&ask.Reports)
 		f.placements.add(coordapi.Reports{Ended: []uint64{ask.Number}})
-		f.config.Limits.Lost(ask.Number)
+		f.config.Limits.ReleaseNumbers(ask.Number)
 		if ctx.Err() != nil {
 			// The caller has left: that says nothing of the leader.
 			return choice, false, false
@@ -100,7 +100,7 @@
 	}
 	choice, found = placer.Choice(ask, reply.Placed)
 	if reply.Placed.Right > 0 {
-		choice.Right = ratelimit.Granted(coordapi.BackendID(choice.ID), ask.Number, asked, reply.Placed.Right)
+		choice.Right = ratelimit.NewPermit(coordapi.BackendID(choice.ID), ask.Number, asked, reply.Placed.Right)
 	}
 	return choice, found, true
 }
@@ -121,7 +121,7 @@
 	if f.config.Quota != nil {
 		reports.Spent = append(reports.Spent, f.config.Quota.Spent()...)
 	}
-	reports.Limits, reports.Unused = f.config.Limits.News(), f.config.Limits.Unused()
+	reports.Limits, reports.Unused = f.config.Limits.TakeUnreported(), f.config.Limits.TakeReleased()
 	f.evidence.take(f.now(), &reports)
 	return reports
 }
@@ -129,8 +129,8 @@
 // keep takes back reports that no leader has taken, for the next word.
 func (f *Follower) keep(reports *coordapi.Reports) {
 	f.placements.add(*reports)
-	f.config.Limits.Untold(reports.Limits)
-	f.config.Limits.Lost(reports.Unused...)
+	f.config.Limits.Requeue(reports.Limits)
+	f.config.Limits.ReleaseNumbers(reports.Unused...)
 	f.evidence.lost(reports)
 }
 
--- a/internal/follower/pushback_test.go
+++ b/internal/follower/pushback_test.go
@@ -19,7 +19,7 @@
 // register in which one engine drains and one wants nothing for half a minute.
 func followPushbacks(t *testing.T, s *script) *Follower {
 	names, logger := vocabulary.Default(), slog.New(slog.DiscardHandler)
-	f := New(Config{Name: "r", Seeds: []string{s.address}, Right: time.Minute, Decode: decode, Pool: nobody{}, Pushbacks: pushback.New(names, logger),
+	f := New(Config{Name: "r", Seeds: []string{s.address}, Lease: time.Minute, Decode: decode, Pool: nobody{}, Pushbacks: pushback.New(names, logger),
 		Peers: peer.NewClient(&peer.Counters{}), Logger: logger})
 	t.Cleanup(f.config.Peers.Close)
 	f.following.Store(&s.address)
--- a/internal/follower/suspend_test.go
+++ b/internal/follower/suspend_test.go
@@ -17,7 +17,7 @@
 func TestTheRightEndsDuringASuspension(t *testing.T) {
 	s := newScript(t)
 	s.say(view(3))
-	f := New(Config{Name: "r", Seeds: []string{s.address}, Right: time.Minute, Decode: decode, Pool: nobody{}, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	f := New(Config{Name: "r", Seeds: []string{s.address}, Lease: time.Minute, Decode: decode, Pool: nobody{}, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	var slept atomic.Int64
 	f.clock = func() time.Duration { return clock.Now() + time.Duration(slept.Load()) }
 	sent := f.now()
--- a/internal/follower/tell.go
+++ b/internal/follower/tell.go
@@ -24,9 +24,9 @@
 	return min(tellEvery+tellStep*time.Duration(routers), tellLimit)
 }
 
-// Tell brings the leader the router's load and newly saved prompt parts until
+// RunReports brings the leader the router's load and newly saved prompt parts until
 // the context ends.
-func (f *Follower) Tell(ctx context.Context) {
+func (f *Follower) RunReports(ctx context.Context) {
 	idle := false
 	for {
 		select {
@@ -39,7 +39,7 @@
 		if leader == nil {
 			continue
 		}
-		news := &coordapi.Tell{Router: f.name, Saved: f.config.Saved.Fresh(), Loads: f.config.Pool.Own(), Refused: f.config.Pool.Refused(),
+		news := &coordapi.Tell{Router: f.name, Saved: f.config.Saved.Fresh(), Loads: f.config.Pool.OwnLoads(), Refused: f.config.Pool.Refused(),
 			Reports: f.reports()}
 		quiet := news.Empty() && len(news.Saved) == 0 && len(news.Loads) == 0 && news.Refused == 0
 		if quiet && idle {
--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -114,7 +114,7 @@
 
 // isKept tells whether an attempt was not sent since its back end wants none from here now.
 func isKept(err error) bool {
-	return errors.Is(err, pushback.ErrBarred) || errors.Is(err, ratelimit.ErrNoRight)
+	return errors.Is(err, pushback.ErrBarred) || errors.Is(err, ratelimit.ErrNoPermit)
 }
 
 // whyNone says why no back end was found.
@@ -160,7 +160,7 @@
 	}
 	answer, err := h.config.Upstream.Do(ctx, choice.Address, j.request)
 	// One that is not used by now never will be.
-	h.config.Limits.GiveBack(choice.Right)
+	h.config.Limits.Release(choice.Right)
 	if err != nil {
 		result := h.noAnswer(ctx, j, choice, err)
 		h.ended(ctx, s, choice, nil, result, started)
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -66,7 +66,7 @@
 
 // lender lends as the leader does; nobody does while it is down.
 type lender struct {
-	repeats *quota.Repeats
+	repeats *quota.SharedRetries
 	now     time.Duration
 	down    bool
 }
@@ -115,14 +115,14 @@
 // and 359 with one that is lent.
 func TestTheBurstIsThereForThoseWhoMeetACrash(t *testing.T) {
 	even := crash(nil)
-	lent := crash(&lender{repeats: quota.NewRepeats()})
+	lent := crash(&lender{repeats: quota.NewSharedRetries()})
 	t.Logf("of 400: %d with an even part of the burst, %d with a lent one", even, lent)
 	assert.Assert(t, lent >= even+100)
 }
 
 // Without a leader no router takes its even part of a burst that may have been lent already.
 func TestTheEvenPartWaitsUntilWhatWasLentIsOver(t *testing.T) {
-	l := &lender{repeats: quota.NewRepeats()}
+	l := &lender{repeats: quota.NewSharedRetries()}
 	config := BudgetConfig{Burst: 100, Window: 10 * time.Second}
 	b := newBudget(config, l)
 	b.draw = func() float64 { return 0 }
--- a/internal/forward/choose.go
+++ b/internal/forward/choose.go
@@ -166,12 +166,12 @@
 // unplace gives a placement up that nothing is sent for.
 func (h *Handler) unplace(choice backends.Choice) {
 	h.config.Placer.Ended(choice.Placement)
-	h.config.Limits.GiveBack(choice.Right)
+	h.config.Limits.Release(choice.Right)
 }
 
 // claim asks for the right to send to a back end that takes only so much. One that takes no
 // more for a while stays out of the choice until then.
-func (h *Handler) claim(ctx context.Context, j *job, choice backends.Choice) (right *ratelimit.Right, wait, room time.Duration) {
+func (h *Handler) claim(ctx context.Context, j *job, choice backends.Choice) (right *ratelimit.Permit, wait, room time.Duration) {
 	if h.config.Claimer == nil {
 		return nil, fullRetry, 0
 	}
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -70,7 +70,7 @@
 	// Claim asks for the right to send a request to one such. Without one, wait is when it
 	// takes another, 0 if it keeps its next place for others, and room when there is room
 	// for the request at some back end of the pool, 0 if that is not known.
-	Claim(ctx context.Context, q *backends.Query, id coordapi.BackendID) (right *ratelimit.Right, wait, room time.Duration)
+	Claim(ctx context.Context, q *backends.Query, id coordapi.BackendID) (right *ratelimit.Permit, wait, room time.Duration)
 }
 
 // Lender lends repeats of the burst that all routers have together.
@@ -92,7 +92,7 @@
 	// Pushbacks is what back ends have asked of this router.
 	Pushbacks *pushback.Register
 	// Limits is what back ends have said that they take from all routers together.
-	Limits *ratelimit.Register
+	Limits *ratelimit.Registry
 	// Claimer may be nil: nothing is sent then to back ends that take only so much.
 	Claimer Claimer
 	// Lender may be nil: the router then uses an even part of the burst by itself.
--- a/internal/forward/limits.go
+++ b/internal/forward/limits.go
@@ -31,6 +31,6 @@
 // settle gives back what a request counts that has not run.
 func (h *Handler) settle(j *job) {
 	if j.counts > 0 && j.counted && j.ran == 0 {
-		h.config.Quota.GiveBack(j.tenant.Name, j.counts)
+		h.config.Quota.Release(j.tenant.Name, j.counts)
 	}
 }
--- a/internal/forward/limits_test.go
+++ b/internal/forward/limits_test.go
@@ -16,7 +16,7 @@
 // limited gives the rig's tenant a limit in tokens.
 func (r *rig) limited() *quota.Gate {
 	gate := quota.NewGate()
-	gate.Hear(r.handler.now(), nil)
+	gate.SetShares(r.handler.now(), nil)
 	r.handler.config.Quota = gate
 	r.source.table.TenantOf("ka").Quota.Limit = quota.Limit{Rate: 100}
 	r.source.table.TenantOf("ka").Quota.Unit = quota.Tokens
@@ -30,7 +30,7 @@
 	r := newRig(t)
 	gate := r.limited()
 	r.add("app", "a", func(http.ResponseWriter, *http.Request) { t.Error("the request was sent") })
-	gate.Hear(r.handler.now(), []quota.Share{{Tenant: "alice", Part: 0}})
+	gate.SetShares(r.handler.now(), []quota.Share{{Tenant: "alice", Part: 0}})
 	answer := r.ask("GET", "/safe/x", nil)
 	assert.Equal(t, answer.status, http.StatusTooManyRequests)
 	assert.Equal(t, answer.header.Get("Retry-After"), "1.00")
--- a/internal/forward/ratelimit_test.go
+++ b/internal/forward/ratelimit_test.go
@@ -20,8 +20,8 @@
 
 // bankClaimer grants rights of a bank as the leader does.
 type bankClaimer struct {
-	bank   *ratelimit.Bank
-	limits *ratelimit.Register
+	bank   *ratelimit.Limiter
+	limits *ratelimit.Registry
 	number atomic.Uint64
 	asked  atomic.Int64
 	// term is for how long a right lasts.
@@ -31,27 +31,27 @@
 // limitedRig is a rig whose rights come from a bank.
 func limitedRig(t *testing.T) (*rig, *bankClaimer) {
 	r := newRig(t)
-	c := &bankClaimer{bank: ratelimit.NewBank(slog.New(slog.DiscardHandler)), limits: r.handler.config.Limits, term: ratelimit.Term}
-	c.bank.Lead(true)
-	c.bank.Lease(1 << 62)
+	c := &bankClaimer{bank: ratelimit.NewLimiter(slog.New(slog.DiscardHandler)), limits: r.handler.config.Limits, term: ratelimit.PermitTTL}
+	c.bank.SetLeading(true)
+	c.bank.SetLease(1 << 62)
 	r.handler.config.Claimer = c
 	return r, c
 }
 
-func (c *bankClaimer) Claim(_ context.Context, q *backends.Query, id coordapi.BackendID) (*ratelimit.Right, time.Duration, time.Duration) {
+func (c *bankClaimer) Claim(_ context.Context, q *backends.Query, id coordapi.BackendID) (*ratelimit.Permit, time.Duration, time.Duration) {
 	c.asked.Add(1)
 	now := clock.Now()
-	c.bank.Hear(now, c.limits.News())
-	c.bank.Unused(now, "r", c.limits.Unused())
+	c.bank.Observe(now, c.limits.TakeUnreported())
+	c.bank.Release(now, "r", c.limits.TakeReleased())
 	number := c.number.Add(1)
-	verdict := c.bank.Take(now, ratelimit.Wish{Router: "r", Number: number, Backend: id, Claimant: q.Claimant})
+	verdict := c.bank.Take(now, ratelimit.Request{Router: "r", Number: number, Backend: id, Claimant: q.Claimant})
 	switch {
-	case verdict.Free:
-		return ratelimit.Free(id), 0, 0
+	case verdict.Unlimited:
+		return ratelimit.UnlimitedPermit(id), 0, 0
 	case verdict.Granted:
-		return ratelimit.Granted(id, number, now, c.term), 0, 0
+		return ratelimit.NewPermit(id, number, now, c.term), 0, 0
 	}
-	return nil, verdict.Wait, c.bank.Room(now, q.Pool)
+	return nil, verdict.Wait, c.bank.RetryAfter(now, q.Pool)
 }
 
 // limit names a rate in each answer, while there is one.
--- a/internal/placer/limited.go
+++ b/internal/placer/limited.go
@@ -25,12 +25,12 @@
 		if !found {
 			return p.none(now, q, kept > 0), false, 0
 		}
-		verdict := p.limits.Take(now, ratelimit.Wish{Router: ask.Router, Number: ask.Number, Backend: coordapi.BackendID(choice.ID), Claimant: ask.Claimant})
+		verdict := p.limits.Take(now, ratelimit.Request{Router: ask.Router, Number: ask.Number, Backend: coordapi.BackendID(choice.ID), Claimant: ask.Claimant})
 		switch {
-		case verdict.Free:
+		case verdict.Unlimited:
 			return choice, true, 0
 		case verdict.Granted:
-			return choice, true, ratelimit.Term
+			return choice, true, ratelimit.PermitTTL
 		case verdict.Wait > 0:
 			p.pool.Full(now, choice.ID, verdict.Wait)
 			continue
@@ -58,5 +58,5 @@
 		// Limits are not why.
 		return backends.Choice{}
 	}
-	return backends.Choice{Room: p.limits.Room(now, q.Pool)}
+	return backends.Choice{Room: p.limits.RetryAfter(now, q.Pool)}
 }
--- a/internal/placer/limited_test.go
+++ b/internal/placer/limited_test.go
@@ -15,16 +15,16 @@
 
 // newLimitedPlacer has a number of engines, of which the first few take so many a second.
 func newLimitedPlacer(n, limited int, rate float64) *Placer {
-	bank := ratelimit.NewBank(slog.New(slog.DiscardHandler))
-	bank.Lead(true)
-	bank.Lease(time.Hour)
+	bank := ratelimit.NewLimiter(slog.New(slog.DiscardHandler))
+	bank.SetLeading(true)
+	bank.SetLease(time.Hour)
 	p := New(bank)
 	p.Apply(engines(n), nil, true)
 	var words []coordapi.LimitWord
 	for _, e := range engines(limited) {
 		words = append(words, coordapi.LimitWord{ID: coordapi.BackendID(e.ID), Pool: "llm", Limited: true, Rate: rate})
 	}
-	bank.Hear(0, words)
+	bank.Observe(0, words)
 	return p
 }
 
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -35,7 +35,7 @@
 	mu   sync.Mutex
 	pool *backends.Pool
 	// limits counts what engines get that take only so much from all machines; nil for none.
-	limits  *ratelimit.Bank
+	limits  *ratelimit.Limiter
 	routers map[string]*router
 	parts   *directory
 	// direct is how much longer than expected requests take that take nothing from a
@@ -58,7 +58,7 @@
 }
 
 // New returns a placer that knows nothing but what limits counts, which may be nil.
-func New(limits *ratelimit.Bank) *Placer {
+func New(limits *ratelimit.Limiter) *Placer {
 	p := &Placer{limits: limits}
 	p.Reset()
 	return p
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -56,7 +56,7 @@
 	// untold is what News returns next.
 	untold []coordapi.Trouble
 	// unreadable are the log lines on answers that can't be read.
-	unreadable bounded.Lines
+	unreadable bounded.LineLimiter
 }
 
 // start is what one start of a back end has asked.
--- a/internal/quota/bank.go
+++ b/internal/quota/bank.go
@@ -14,15 +14,15 @@
 	Window    time.Duration
 	Overshoot float64
 	Slack     Amount
-	// Changes is how many changes of the Bank that admits are borne within a Window.
-	Changes int
+	// LeaderChanges is how many changes of the Bank that admits are borne within a Window.
+	LeaderChanges int
 }
 
 // parts is into how many parts the tolerance of a limit is divided. A bucket takes one of
 // them as further burst, may be overdrawn by another, and starts with one when its past is
 // not known: two for the first bank and two for each that follows it. The last is for what
 // routers admit without asking.
-func (t Tolerance) parts() Amount { return Amount(3 + 2*t.Changes) }
+func (t Tolerance) parts() Amount { return Amount(3 + 2*t.LeaderChanges) }
 
 const (
 	// shareTime is the time over which the admitted share of a tenant's demand is
@@ -34,12 +34,12 @@
 	leastReturn = 50 * time.Millisecond
 )
 
-// Bank counts what all routers use of each tenant's limit. An amount is admitted
-// from a bucket that fills at the limit's rate up to its burst. Only one Bank of a
+// Limiter counts what all routers use of each tenant's limit. An amount is admitted
+// from a bucket that fills at the limit's rate up to its burst. Only one Limiter of a
 // deployment may admit at a time; a new one knows nothing of what the last one
 // admitted and starts with almost empty buckets, so that both together stay
 // within the tolerance. It is not safe for concurrent use.
-type Bank struct {
+type Limiter struct {
 	tolerance Tolerance
 	accounts  map[string]*account
 	// known says that limits were set before: a tenant that is new then has used
@@ -60,14 +60,14 @@
 	asked, refused decay.Sum
 }
 
-// NewBank returns a bank without limits.
-func NewBank(tolerance Tolerance) *Bank {
-	return &Bank{tolerance: tolerance, accounts: map[string]*account{}}
+// NewLimiter returns a bank without limits.
+func NewLimiter(tolerance Tolerance) *Limiter {
+	return &Limiter{tolerance: tolerance, accounts: map[string]*account{}}
 }
 
-// Set replaces the limits. What was used before counts on under a tenant's new
+// SetLimits replaces the limits. What was used before counts on under a tenant's new
 // limit.
-func (b *Bank) Set(now time.Duration, limits map[string]Limit) {
+func (b *Limiter) SetLimits(now time.Duration, limits map[string]Limit) {
 	for name, a := range b.accounts {
 		if _, named := limits[name]; !named {
 			a.limit = Limit{}
@@ -90,9 +90,9 @@
 	b.known = true
 }
 
-// Limit sets one limit, in place of Set for all. A new bucket is empty: what was used before
+// SetLimit sets one limit, in place of Set for all. A new bucket is empty: what was used before
 // is not known.
-func (b *Bank) Limit(now time.Duration, name string, limit Limit) {
+func (b *Limiter) SetLimit(now time.Duration, name string, limit Limit) {
 	a := b.accounts[name]
 	if a == nil {
 		a = &account{name: name, at: now}
@@ -104,10 +104,10 @@
 }
 
 // Forget drops a limit and what was used of it.
-func (b *Bank) Forget(name string) { delete(b.accounts, name) }
+func (b *Limiter) Forget(name string) { delete(b.accounts, name) }
 
 // Wait is how long it takes until there is an amount in a bucket, 0 if there is now.
-func (b *Bank) Wait(now time.Duration, name string, amount Amount) time.Duration {
+func (b *Limiter) Wait(now time.Duration, name string, amount Amount) time.Duration {
 	a := b.accounts[name]
 	if a == nil || !a.limit.Limited() {
 		return 0
@@ -116,8 +116,8 @@
 	return time.Duration(max(float64(amount-a.level), 0) / float64(a.limit.Rate) * float64(time.Second))
 }
 
-// Depth is how far a bucket fills.
-func (b *Bank) Depth(name string) Amount {
+// Capacity is how far a bucket fills.
+func (b *Limiter) Capacity(name string) Amount {
 	a := b.accounts[name]
 	if a == nil {
 		return 0
@@ -126,7 +126,7 @@
 }
 
 // first is the level of a new tenant's bucket.
-func (b *Bank) first(l Limit) Amount {
+func (b *Limiter) first(l Limit) Amount {
 	if b.known {
 		return b.capacity(l)
 	}
@@ -134,18 +134,18 @@
 }
 
 // part is one part of the tolerance above a limit.
-func (b *Bank) part(l Limit) Amount {
+func (b *Limiter) part(l Limit) Amount {
 	allowed := l.Rate*Amount(b.tolerance.Window.Seconds()) + l.Burst
 	return (Amount(b.tolerance.Overshoot)*allowed + b.tolerance.Slack) / b.tolerance.parts()
 }
 
 // capacity is how far a bucket fills.
-func (b *Bank) capacity(l Limit) Amount { return l.Burst + b.part(l) }
+func (b *Limiter) capacity(l Limit) Amount { return l.Burst + b.part(l) }
 
 // Take admits an amount, or says after what time to come back. Requests of all
 // sizes up to a part of the tolerance have the same chance; a larger one needs
 // a fuller bucket, at most a full one.
-func (b *Bank) Take(now time.Duration, tenant string, amount Amount) (after time.Duration, admitted bool) {
+func (b *Limiter) Take(now time.Duration, tenant string, amount Amount) (after time.Duration, admitted bool) {
 	a := b.accounts[tenant]
 	if a == nil || !a.limit.Limited() {
 		return 0, true
@@ -163,7 +163,7 @@
 
 // Charge notes an amount that was admitted elsewhere. A negative one gives back
 // what was admitted and not used.
-func (b *Bank) Charge(now time.Duration, tenant string, amount Amount) {
+func (b *Limiter) Charge(now time.Duration, tenant string, amount Amount) {
 	a := b.accounts[tenant]
 	if a == nil || !a.limit.Limited() {
 		return
@@ -181,7 +181,7 @@
 }
 
 // Shares returns the tenants whose demand is above their limit, by name.
-func (b *Bank) Shares(now time.Duration) []Share {
+func (b *Limiter) Shares(now time.Duration) []Share {
 	var out []Share
 	for _, a := range b.accounts {
 		asked, refused := a.asked.Value(now, shareTime), a.refused.Value(now, shareTime)
@@ -194,23 +194,23 @@
 	return out
 }
 
-// Use is a limit and what was made of it lately.
-type Use struct {
+// Usage is a limit and what was made of it lately.
+type Usage struct {
 	Name string
 	Limit
 	// Asked and Refused are amounts a second.
 	Asked, Refused Amount
 }
 
-// Uses returns all limits, by name.
-func (b *Bank) Uses(now time.Duration) []Use {
-	var out []Use
+// Usage returns all limits, by name.
+func (b *Limiter) Usage(now time.Duration) []Usage {
+	var out []Usage
 	for _, a := range b.accounts {
 		if a.limit.Limited() {
-			out = append(out, Use{a.name, a.limit, Amount(a.asked.Value(now, shareTime) / shareTime.Seconds()), Amount(a.refused.Value(now, shareTime) / shareTime.Seconds())})
+			out = append(out, Usage{a.name, a.limit, Amount(a.asked.Value(now, shareTime) / shareTime.Seconds()), Amount(a.refused.Value(now, shareTime) / shareTime.Seconds())})
 		}
 	}
-	slices.SortFunc(out, func(x, y Use) int { return strings.Compare(x.Name, y.Name) })
+	slices.SortFunc(out, func(x, y Usage) int { return strings.Compare(x.Name, y.Name) })
 	return out
 }
 
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -37,8 +37,8 @@
 // NewGate returns a gate that admits everything until shares are announced.
 func NewGate() *Gate { return &Gate{spent: map[string]Amount{}} }
 
-// Hear takes the shares that the leader announced.
-func (g *Gate) Hear(now time.Duration, shares []Share) {
+// SetShares takes the shares that the leader announced.
+func (g *Gate) SetShares(now time.Duration, shares []Share) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.shares = make(map[string]float64, len(shares))
@@ -67,8 +67,8 @@
 	return 0, true
 }
 
-// GiveBack notes that an admitted amount was not used.
-func (g *Gate) GiveBack(tenant string, amount Amount) {
+// Release notes that an admitted amount was not used.
+func (g *Gate) Release(tenant string, amount Amount) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.spent[tenant] -= amount
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-var tolerance = Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 110_000, Changes: 2}
+var tolerance = Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 110_000, LeaderChanges: 2}
 
 // use is an amount that was admitted.
 type use struct {
@@ -43,16 +43,16 @@
 		demand := rapid.Float64Range(0.5, 20).Draw(t, "demand")
 		changes := rapid.SliceOfN(rapid.IntRange(0, 20_000), 2, 2).Draw(t, "changes")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		bank := NewBank(tolerance)
-		bank.Set(0, map[string]Limit{"a": limit})
+		bank := NewLimiter(tolerance)
+		bank.SetLimits(0, map[string]Limit{"a": limit})
 		var uses []use
 		for now := time.Duration(0); now < 24*time.Second; {
 			now += time.Duration(random.ExpFloat64() * largest / 2 / (demand * float64(limit.Rate)) * float64(time.Second))
 			for i, at := range changes {
 				if at >= 0 && now >= time.Duration(at)*time.Millisecond {
 					changes[i] = -1
-					bank = NewBank(tolerance)
-					bank.Set(now, map[string]Limit{"a": limit})
+					bank = NewLimiter(tolerance)
+					bank.SetLimits(now, map[string]Limit{"a": limit})
 				}
 			}
 			amount := Amount(random.Float64() * largest)
@@ -69,7 +69,7 @@
 
 // play asks for amounts at a mean rate, and returns what part was admitted of the
 // small and of the large ones.
-func play(bank *Bank, random *rand.Rand, from, until time.Duration, rate Amount) (small, large float64) {
+func play(bank *Limiter, random *rand.Rand, from, until time.Duration, rate Amount) (small, large float64) {
 	var asked, got [2]int
 	for now := from; now < until; {
 		now += time.Duration(random.ExpFloat64() * 5000 / float64(rate) * float64(time.Second))
@@ -86,8 +86,8 @@
 // At 0.8 of its rate a tenant with a second's burst loses nothing, whatever the
 // order of its requests; nearer to it chance alone takes it beyond its burst.
 func TestNothingIsRefusedBelowTheLimit(t *testing.T) {
-	bank := NewBank(tolerance)
-	bank.Set(0, map[string]Limit{"a": {Rate: 100_000, Burst: 100_000}})
+	bank := NewLimiter(tolerance)
+	bank.SetLimits(0, map[string]Limit{"a": {Rate: 100_000, Burst: 100_000}})
 	small, large := play(bank, rand.New(rand.NewPCG(1, 1)), 2*time.Second, 2000*time.Second, 80_000)
 	assert.Assert(t, small > 0.999 && large > 0.999, "%v %v", small, large)
 }
@@ -98,8 +98,8 @@
 		limit := Limit{Rate: 100_000, Burst: Amount(rapid.Float64Range(10_000, 300_000).Draw(t, "burst"))}
 		demand := rapid.Float64Range(0.5, 3).Draw(t, "demand")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		bank := NewBank(tolerance)
-		bank.Set(-10*time.Second, map[string]Limit{"a": limit})
+		bank := NewLimiter(tolerance)
+		bank.SetLimits(-10*time.Second, map[string]Limit{"a": limit})
 		level, at := limit.Burst, time.Duration(0)
 		var exact, got Amount
 		for now := time.Duration(0); now < 30*time.Second; {
@@ -121,22 +121,22 @@
 }
 
 func TestBeyondTheLimitAllSizesHaveTheSameChance(t *testing.T) {
-	bank := NewBank(tolerance)
-	bank.Set(0, map[string]Limit{"a": {Rate: 100_000, Burst: 100_000}})
+	bank := NewLimiter(tolerance)
+	bank.SetLimits(0, map[string]Limit{"a": {Rate: 100_000, Burst: 100_000}})
 	small, large := play(bank, rand.New(rand.NewPCG(1, 2)), 0, 200*time.Second, 200_000)
 	assert.Assert(t, small > 0.48 && small < 0.52, "%v", small)
 	assert.Assert(t, large > 0.48 && large < 0.52, "%v", large)
 }
 
 func TestALimitThatIsLoweredOrRaisedHoldsAtOnce(t *testing.T) {
-	bank := NewBank(tolerance)
+	bank := NewLimiter(tolerance)
 	random := rand.New(rand.NewPCG(1, 3))
-	bank.Set(0, map[string]Limit{"a": {Rate: 200_000, Burst: 200_000}, "b": {Rate: 1}})
+	bank.SetLimits(0, map[string]Limit{"a": {Rate: 200_000, Burst: 200_000}, "b": {Rate: 1}})
 	play(bank, random, 0, 10*time.Second, 100_000)
-	bank.Set(10*time.Second, map[string]Limit{"a": {Rate: 20_000, Burst: 20_000}})
+	bank.SetLimits(10*time.Second, map[string]Limit{"a": {Rate: 20_000, Burst: 20_000}})
 	small, large := play(bank, random, 12*time.Second, 100*time.Second, 100_000)
 	assert.Assert(t, small < 0.23 && large < 0.23, "%v %v", small, large)
-	bank.Set(100*time.Second, map[string]Limit{"a": {Rate: 200_000, Burst: 200_000}})
+	bank.SetLimits(100*time.Second, map[string]Limit{"a": {Rate: 200_000, Burst: 200_000}})
 	small, large = play(bank, random, 100*time.Second+300*time.Millisecond, 110*time.Second, 100_000)
 	assert.Assert(t, small == 1 && large == 1, "%v %v", small, large)
 	_, admitted := bank.Take(110*time.Second, "b", 1e9)
@@ -145,8 +145,8 @@
 
 // A tenant whose whole bucket is smaller than one request is served all the same.
 func TestARequestLargerThanTheBurstIsAdmittedByAFullBucket(t *testing.T) {
-	bank := NewBank(Tolerance{Window: time.Second})
-	bank.Set(0, map[string]Limit{"a": {Rate: 100, Burst: 100}})
+	bank := NewLimiter(Tolerance{Window: time.Second})
+	bank.SetLimits(0, map[string]Limit{"a": {Rate: 100, Burst: 100}})
 	after, admitted := bank.Take(0, "a", 1000)
 	assert.Assert(t, !admitted && after > 0)
 	_, admitted = bank.Take(2*time.Second, "a", 1000)
@@ -158,8 +158,8 @@
 // Those who are refused are told to come back one behind the other, as the rate
 // allows, so that they are not refused again together.
 func TestThoseWhoAreRefusedComeBackInOrder(t *testing.T) {
-	bank := NewBank(Tolerance{Window: time.Second})
-	bank.Set(0, map[string]Limit{"a": {Rate: 1000, Burst: 500}})
+	bank := NewLimiter(Tolerance{Window: time.Second})
+	bank.SetLimits(0, map[string]Limit{"a": {Rate: 1000, Burst: 500}})
 	bank.Charge(time.Second, "a", 500)
 	for i := range 4 {
 		after, admitted := bank.Take(time.Second, "a", 100)
@@ -169,9 +169,9 @@
 }
 
 func TestWhatIsGivenBackCanBeUsed(t *testing.T) {
-	bank := NewBank(Tolerance{Window: time.Second})
-	bank.Set(0, nil)
-	bank.Set(0, map[string]Limit{"a": {Rate: 1, Burst: 100}})
+	bank := NewLimiter(Tolerance{Window: time.Second})
+	bank.SetLimits(0, nil)
+	bank.SetLimits(0, map[string]Limit{"a": {Rate: 1, Burst: 100}})
 	_, admitted := bank.Take(0, "a", 100)
 	assert.Assert(t, admitted)
 	_, admitted = bank.Take(0, "a", 100)
@@ -193,20 +193,20 @@
 		}
 		return n
 	}
-	gate.Hear(0, []Share{{Tenant: "a", Part: 0.4}})
+	gate.SetShares(0, []Share{{Tenant: "a", Part: 0.4}})
 	assert.Equal(t, admitted(heardFor), 40)
 	assert.Equal(t, admitted(heardFor+halfTime), 20)
-	gate.GiveBack("a", 20)
+	gate.Release("a", 20)
 	assert.DeepEqual(t, gate.Spent(), []Spent{{Tenant: "a", Amount: 100}})
 	assert.Equal(t, len(gate.Spent()), 0)
-	gate.Hear(3*time.Second, nil)
+	gate.SetShares(3*time.Second, nil)
 	assert.Equal(t, admitted(3*time.Second), 100)
 }
 
 func TestOnlyTenantsBeyondTheirLimitAreAnnounced(t *testing.T) {
-	bank := NewBank(Tolerance{Window: time.Second})
-	bank.Set(0, nil)
-	bank.Set(0, map[string]Limit{"a": {Rate: 100, Burst: 300}, "b": {Rate: 100, Burst: 1000}})
+	bank := NewLimiter(Tolerance{Window: time.Second})
+	bank.SetLimits(0, nil)
+	bank.SetLimits(0, map[string]Limit{"a": {Rate: 100, Burst: 300}, "b": {Rate: 100, Burst: 1000}})
 	bank.Charge(time.Second, "a", 1000)
 	bank.Take(time.Second, "a", 300)
 	bank.Take(time.Second, "b", 300)
@@ -217,9 +217,9 @@
 	assert.Equal(t, len(bank.Shares(time.Minute)), 0)
 }
 
-func ExampleBank() {
-	bank := NewBank(Tolerance{Window: time.Second})
-	bank.Set(0, map[string]Limit{"shop": {Rate: 1000, Burst: 500}})
+func ExampleLimiter() {
+	bank := NewLimiter(Tolerance{Window: time.Second})
+	bank.SetLimits(0, map[string]Limit{"shop": {Rate: 1000, Burst: 500}})
 	_, admitted := bank.Take(time.Second, "shop", 500)
 	fmt.Println(admitted)
 	after, admitted := bank.Take(time.Second, "shop", 500)
@@ -231,12 +231,12 @@
 
 // BenchmarkTake is one decision of the leader among many tenants.
 func BenchmarkTake(b *testing.B) {
-	bank := NewBank(tolerance)
+	bank := NewLimiter(tolerance)
 	limits := map[string]Limit{}
 	for i := range 1000 {
 		limits[fmt.Sprint("t", i)] = Limit{Rate: 1e6, Burst: 1e6}
 	}
-	bank.Set(0, limits)
+	bank.SetLimits(0, limits)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		bank.Take(time.Duration(i)*time.Millisecond, "t7", 9000)
@@ -246,13 +246,13 @@
 // greedy is what a tenant gets within a window that takes all that it can at each moment,
 // from a full bucket and over changes of the leader.
 func greedy(limit Limit, changes ...time.Duration) (sum, part Amount) {
-	bank := NewBank(tolerance)
-	bank.Set(-100*time.Second, map[string]Limit{"a": limit})
+	bank := NewLimiter(tolerance)
+	bank.SetLimits(-100*time.Second, map[string]Limit{"a": limit})
 	part = bank.part(limit)
 	for now := time.Duration(0); now < tolerance.Window; now += 10 * time.Millisecond {
 		if slices.Contains(changes, now) {
-			bank = NewBank(tolerance)
-			bank.Set(now, map[string]Limit{"a": limit})
+			bank = NewLimiter(tolerance)
+			bank.SetLimits(now, map[string]Limit{"a": limit})
 		}
 		for {
 			if _, admitted := bank.Take(now, "a", part); !admitted {
--- a/internal/quota/repeats_test.go
+++ b/internal/quota/repeats_test.go
@@ -17,14 +17,14 @@
 		demand := rapid.Float64Range(0.1, 5).Draw(t, "demand") * burst / window.Seconds()
 		changes := rapid.SliceOfN(rapid.IntRange(0, 40_000), 0, 4).Draw(t, "changes")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		r := NewRepeats()
+		r := NewSharedRetries()
 		var uses []use
 		for now := time.Duration(0); now < 40*time.Second; {
 			now += time.Duration(random.ExpFloat64() / demand * float64(time.Second))
 			for i, at := range changes {
 				if at >= 0 && now >= time.Duration(at)*time.Millisecond {
 					changes[i] = -1
-					r = NewRepeats()
+					r = NewSharedRetries()
 				}
 			}
 			if r.Take(now, "p", burst, window, 1) {
@@ -38,7 +38,7 @@
 }
 
 func TestTheCommonBurstIsLentToWhoeverNeedsIt(t *testing.T) {
-	r := NewRepeats()
+	r := NewSharedRetries()
 	lent := 0
 	take := func(from, until time.Duration, share float64) (n int) {
 		for now := from; now < until; now += 10 * time.Millisecond {
--- a/internal/ratelimit/bank.go
+++ b/internal/ratelimit/bank.go
@@ -21,12 +21,12 @@
 // is used at the end of its Term and arrives a quarter of a second later adds 0.75 times the
 // rate, and each change of the leader one request, since a new one begins with
 // empty buckets: three of them within four seconds are within it at any rate.
-var tolerance = quota.Tolerance{Window: 4 * time.Second, Overshoot: 0.5, Slack: 5, Changes: 1}
+var tolerance = quota.Tolerance{Window: 4 * time.Second, Overshoot: 0.5, Slack: 5, LeaderChanges: 1}
 
 const (
-	// Term is how long after the question for it a right may be used: some ways between
+	// PermitTTL is how long after the question for it a right may be used: some ways between
 	// zones, and a dial.
-	Term = 500 * time.Millisecond
+	PermitTTL = 500 * time.Millisecond
 	// leastRate is the rate of one that takes less, or nothing: without a request now and
 	// then nobody would hear that its need is over. Five in four seconds are borne at any.
 	leastRate PerSecond = 0.2
@@ -46,15 +46,15 @@
 	maxTenants = 256
 )
 
-// Bank counts what all processes send to back ends that take only so much. Only the leader
+// Limiter counts what all processes send to back ends that take only so much. Only the leader
 // grants, and while it has its lease: there is no other then. It is safe for concurrent use.
-type Bank struct {
+type Limiter struct {
 	logger *slog.Logger
 
 	mu          sync.Mutex
 	leads       bool
 	leasedUntil time.Duration
-	quota       *quota.Bank
+	quota       *quota.Limiter
 	starts      map[coordapi.BackendID]*account
 	// pools are what is known of the starts that have a limit, by pool.
 	pools map[string]*pool
@@ -72,7 +72,7 @@
 type account struct {
 	pool  string
 	word  word
-	lines bounded.Lines
+	lines bounded.LineLimiter
 	// asked counts the requests of each urgency that wanted a right, and granted those of
 	// each tenant that got one.
 	asked   map[int]*decay.Sum
@@ -100,37 +100,37 @@
 	at      time.Duration
 }
 
-// NewBank returns a bank that grants nothing until it leads.
-func NewBank(logger *slog.Logger) *Bank {
-	b := &Bank{logger: logger}
+// NewLimiter returns a bank that grants nothing until it leads.
+func NewLimiter(logger *slog.Logger) *Limiter {
+	b := &Limiter{logger: logger}
 	b.reset()
 	return b
 }
 
-func (b *Bank) reset() {
-	b.quota = quota.NewBank(tolerance)
+func (b *Limiter) reset() {
+	b.quota = quota.NewLimiter(tolerance)
 	b.starts, b.pools, b.grants = map[coordapi.BackendID]*account{}, map[string]*pool{}, map[grantKey]grant{}
 	b.leasedUntil = 0
 	b.changes++
 }
 
-// Lead begins or ends a leadership. Nothing is known at its beginning.
-func (b *Bank) Lead(leads bool) {
+// SetLeading begins or ends a leadership. Nothing is known at its beginning.
+func (b *Limiter) SetLeading(leads bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.reset()
 	b.leads = leads
 }
 
-// Lease notes the end of the leader's lease.
-func (b *Bank) Lease(until time.Duration) {
+// SetLease notes the end of the leader's lease.
+func (b *Limiter) SetLease(until time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.leasedUntil = until
 }
 
-// Hear takes what back ends have said, and returns those whose limit has changed.
-func (b *Bank) Hear(now time.Duration, words []coordapi.LimitWord) (changed []coordapi.BackendID) {
+// Observe takes what back ends have said, and returns those whose limit has changed.
+func (b *Limiter) Observe(now time.Duration, words []coordapi.LimitWord) (changed []coordapi.BackendID) {
 	if len(words) == 0 {
 		return nil
 	}
@@ -148,7 +148,7 @@
 }
 
 // hear takes one word, and tells whether it changes a limit.
-func (b *Bank) hear(now time.Duration, told *coordapi.LimitWord) bool {
+func (b *Limiter) hear(now time.Duration, told *coordapi.LimitWord) bool {
 	w := wordOf(now, told)
 	a := b.starts[told.ID]
 	if a == nil {
@@ -170,7 +170,7 @@
 	}
 	b.sum(a.pool, before, w)
 	if w.limited {
-		b.quota.Limit(now, string(told.ID), quota.Limit{Rate: quota.Amount(w.granted())})
+		b.quota.SetLimit(now, string(told.ID), quota.Limit{Rate: quota.Amount(w.granted())})
 	} else {
 		b.quota.Forget(string(told.ID))
 	}
@@ -183,7 +183,7 @@
 }
 
 // sum brings a pool's sum up to date.
-func (b *Bank) sum(name string, before, w word) {
+func (b *Limiter) sum(name string, before, w word) {
 	p := b.pools[name]
 	if p == nil {
 		p = &pool{}
@@ -201,19 +201,19 @@
 
 // Verdict is what becomes of a wish to send.
 type Verdict struct {
-	// Free says that the back end has no limit; else Granted whether there is a right.
-	Free    bool
-	Granted bool
+	// Unlimited says that the back end has no limit; else Granted whether there is a right.
+	Unlimited bool
+	Granted   bool
 	// Wait is when the back end takes another request, whosever it is; 0 if it keeps its
 	// next for others.
 	Wait time.Duration
 }
 
-// Sends tells whether the request may be sent.
-func (v Verdict) Sends() bool { return v.Free || v.Granted }
+// Allowed tells whether the request may be sent.
+func (v Verdict) Allowed() bool { return v.Unlimited || v.Granted }
 
-// Wish names what is to be sent: its right goes back by router and number.
-type Wish struct {
+// Request names what is to be sent: its right goes back by router and number.
+type Request struct {
 	Router   string
 	Number   uint64
 	Backend  coordapi.BackendID
@@ -221,12 +221,12 @@
 }
 
 // Take grants a right to send, if there is one.
-func (b *Bank) Take(now time.Duration, w Wish) Verdict {
+func (b *Limiter) Take(now time.Duration, w Request) Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.starts[w.Backend]
 	if a == nil || !a.word.limited {
-		return Verdict{Free: true}
+		return Verdict{Unlimited: true}
 	}
 	if !b.leads || now >= b.leasedUntil {
 		b.denied++
@@ -248,14 +248,14 @@
 	return Verdict{Granted: true}
 }
 
-func (b *Bank) deny(now time.Duration, a *account, wait time.Duration) Verdict {
+func (b *Limiter) deny(now time.Duration, a *account, wait time.Duration) Verdict {
 	b.denied++
 	a.denied.Add(now, claimsTime, 1)
 	return Verdict{Wait: wait}
 }
 
 // List returns the limits in force with what was made of them, by back end.
-func (b *Bank) List(now time.Duration) []coordapi.BackendLimit {
+func (b *Limiter) List(now time.Duration) []coordapi.BackendLimit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []coordapi.BackendLimit
@@ -270,9 +270,9 @@
 	return out
 }
 
-// Room is when there is room for a request of a pool that was turned away, at one that takes
+// RetryAfter is when there is room for a request of a pool that was turned away, at one that takes
 // only so much: behind those that were turned away before it.
-func (b *Bank) Room(now time.Duration, name string) time.Duration {
+func (b *Limiter) RetryAfter(now time.Duration, name string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.pools[name]
@@ -284,9 +284,9 @@
 	return max(p.returns-now, leastRoom)
 }
 
-// Unused takes rights back with which nothing was sent, each once, and returns whose they
+// Release takes rights back with which nothing was sent, each once, and returns whose they
 // were.
-func (b *Bank) Unused(now time.Duration, router string, numbers []uint64) (of []coordapi.BackendID) {
+func (b *Limiter) Release(now time.Duration, router string, numbers []uint64) (of []coordapi.BackendID) {
 	if len(numbers) == 0 {
 		return nil
 	}
@@ -307,7 +307,7 @@
 }
 
 // sweep forgets the grants that can't go back any more, and words that are long over.
-func (b *Bank) sweep(now time.Duration) {
+func (b *Limiter) sweep(now time.Duration) {
 	if now-b.sweptAt < grantKept {
 		return
 	}
@@ -316,8 +316,8 @@
 	maps.DeleteFunc(b.starts, func(_ coordapi.BackendID, a *account) bool { return !a.word.limited && now-a.word.heard > overKept })
 }
 
-// Depart forgets starts that are gone.
-func (b *Bank) Depart(ids []string) {
+// Remove forgets starts that are gone.
+func (b *Limiter) Remove(ids []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, name := range ids {
@@ -335,7 +335,7 @@
 
 // Limited returns the starts that have a limit, sorted, and a number that changes when they
 // do.
-func (b *Bank) Limited() (ids []coordapi.BackendID, changes int) {
+func (b *Limiter) Limited() (ids []coordapi.BackendID, changes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, a := range b.starts {
@@ -348,14 +348,14 @@
 }
 
 // Changes is the number that Limited returns.
-func (b *Bank) Changes() int {
+func (b *Limiter) Changes() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changes
 }
 
 // Counts are how many rights were granted, denied and taken back.
-func (b *Bank) Counts() (granted, denied, back uint64) {
+func (b *Limiter) Counts() (granted, denied, back uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.granted, b.denied, b.back
@@ -385,7 +385,7 @@
 
 // leftForOthers is what a request leaves in the bucket that gives way to others: all but one
 // place of its depth, for as many of them as may come at once, and one at least.
-func (b *Bank) leftForOthers(name string) quota.Amount { return max(b.quota.Depth(name)-1, 1) }
+func (b *Limiter) leftForOthers(name string) quota.Amount { return max(b.quota.Capacity(name)-1, 1) }
 
 // lately is what a sum must hold for its last request to be of the last two or three
 // claimsTime.
--- a/internal/ratelimit/bank_test.go
+++ b/internal/ratelimit/bank_test.go
@@ -16,10 +16,10 @@
 	"quinceridge.example/quinceridge/internal/coordapi"
 )
 
-func newTestBank() *Bank {
-	b := NewBank(slog.New(slog.DiscardHandler))
-	b.Lead(true)
-	b.Lease(1 << 62)
+func newTestBank() *Limiter {
+	b := NewLimiter(slog.New(slog.DiscardHandler))
+	b.SetLeading(true)
+	b.SetLease(1 << 62)
 	return b
 }
 
@@ -30,8 +30,8 @@
 func over(id string) []coordapi.LimitWord { return []coordapi.LimitWord{{ID: coordapi.BackendID(id)}} }
 
 // wish is a request of a router for a back end.
-func wish(number int, id string) Wish {
-	return Wish{Router: "r", Number: uint64(number), Backend: coordapi.BackendID(id)}
+func wish(number int, id string) Request {
+	return Request{Router: "r", Number: uint64(number), Backend: coordapi.BackendID(id)}
 }
 
 // allowed is what a back end that names a rate bears in a window of four seconds.
@@ -59,7 +59,7 @@
 		changes := rapid.SliceOfN(rapid.IntRange(0, 16_000), 0, 3).Draw(t, "changes")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		b := newTestBank()
-		b.Hear(0, limited("a", rate))
+		b.Observe(0, limited("a", rate))
 		var times []time.Duration
 		number := 0
 		for now := time.Duration(0); now < 16*time.Second; {
@@ -68,7 +68,7 @@
 				if at >= 0 && now >= time.Duration(at)*time.Millisecond {
 					changes[i] = -1
 					b = newTestBank()
-					b.Hear(now, limited("a", rate))
+					b.Observe(now, limited("a", rate))
 				}
 			}
 			number++
@@ -77,11 +77,11 @@
 			case !v.Granted:
 			case random.IntN(10) == 0:
 				back := []uint64{uint64(number)}
-				b.Unused(now, "r", back)
-				b.Unused(now, "r", back)
+				b.Release(now, "r", back)
+				b.Release(now, "r", back)
 			default:
 				// Used within its term, and on its way for a quarter of a second at most.
-				times = append(times, now+time.Duration(random.Int64N(int64(Term+250*time.Millisecond))))
+				times = append(times, now+time.Duration(random.Int64N(int64(PermitTTL+250*time.Millisecond))))
 			}
 		}
 		sortTimes(times)
@@ -95,7 +95,7 @@
 func TestABackEndGetsWhatItTakes(t *testing.T) {
 	for _, rate := range []float64{0.2, 0.4, 1, 1.3, 5, 40, 500} {
 		b := newTestBank()
-		b.Hear(0, limited("a", rate))
+		b.Observe(0, limited("a", rate))
 		random := rand.New(rand.NewPCG(1, 1))
 		length, got, number := 100*time.Second, 0, 0
 		for now := time.Duration(0); now < length; number++ {
@@ -110,14 +110,14 @@
 
 func TestARightThatWasNotUsedIsThereForOthersOnce(t *testing.T) {
 	b := newTestBank()
-	b.Hear(0, limited("a", 1))
+	b.Observe(0, limited("a", 1))
 	assert.Assert(t, b.Take(0, wish(1, "a")).Granted)
 	assert.Assert(t, !b.Take(0, wish(2, "a")).Granted)
-	b.Unused(0, "other", []uint64{1})
+	b.Release(0, "other", []uint64{1})
 	assert.Assert(t, !b.Take(0, wish(3, "a")).Granted, "another router's number")
-	b.Unused(0, "r", []uint64{1, 1})
+	b.Release(0, "r", []uint64{1, 1})
 	assert.Assert(t, b.Take(0, wish(4, "a")).Granted)
-	b.Unused(0, "r", []uint64{1})
+	b.Release(0, "r", []uint64{1})
 	assert.Assert(t, !b.Take(0, wish(5, "a")).Granted)
 	// One of a router that died comes back as the rate goes on.
 	v := b.Take(0, wish(6, "a"))
@@ -126,16 +126,16 @@
 }
 
 func TestOnlyALeaderWithItsLeaseGrants(t *testing.T) {
-	b := NewBank(slog.New(slog.DiscardHandler))
-	b.Hear(0, limited("a", 1))
-	assert.Assert(t, b.Take(0, wish(1, "a")).Free, "a node that does not lead knows of none")
-	b.Lead(true)
-	b.Hear(0, limited("a", 100))
-	assert.Assert(t, !b.Take(0, wish(1, "a")).Sends(), "it has no lease yet")
-	b.Lease(time.Second)
+	b := NewLimiter(slog.New(slog.DiscardHandler))
+	b.Observe(0, limited("a", 1))
+	assert.Assert(t, b.Take(0, wish(1, "a")).Unlimited, "a node that does not lead knows of none")
+	b.SetLeading(true)
+	b.Observe(0, limited("a", 100))
+	assert.Assert(t, !b.Take(0, wish(1, "a")).Allowed(), "it has no lease yet")
+	b.SetLease(time.Second)
 	assert.Assert(t, b.Take(time.Second-1, wish(2, "a")).Granted)
-	assert.Assert(t, !b.Take(time.Second, wish(3, "a")).Sends(), "another may lead by now")
-	b.Lead(false)
+	assert.Assert(t, !b.Take(time.Second, wish(3, "a")).Allowed(), "another may lead by now")
+	b.SetLeading(false)
 	ids, _ := b.Limited()
 	assert.Equal(t, len(ids), 0)
 }
@@ -144,9 +144,9 @@
 func TestALimitHoldsUntilANewerWordComes(t *testing.T) {
 	b := newTestBank()
 	at := func(now time.Duration, rate float64, limited bool, sent, heard time.Duration) {
-		b.Hear(now, []coordapi.LimitWord{{ID: "a", Pool: "p", Limited: limited, Rate: rate, Sent: now - sent, Heard: now - heard}})
+		b.Observe(now, []coordapi.LimitWord{{ID: "a", Pool: "p", Limited: limited, Rate: rate, Sent: now - sent, Heard: now - heard}})
 	}
-	holds := func(now time.Duration) bool { return !b.Take(now, wish(0, "a")).Free }
+	holds := func(now time.Duration) bool { return !b.Take(now, wish(0, "a")).Unlimited }
 	at(time.Second, 1, true, 800*time.Millisecond, 900*time.Millisecond)
 	at(time.Second, 0, false, 850*time.Millisecond, 950*time.Millisecond)
 	assert.Assert(t, holds(time.Second), "it crossed")
@@ -158,14 +158,14 @@
 	assert.Assert(t, holds(4*time.Second), "named again")
 	// Nobody sends, so nobody hears: it stands, and the next that is sent asks.
 	assert.Assert(t, holds(time.Hour))
-	b.Depart([]string{"a"})
+	b.Remove([]string{"a"})
 	assert.Assert(t, !holds(time.Hour), "it is that start's")
 }
 
 // One that takes nothing is asked now and then whether it still needs that.
 func TestOneThatTakesNothingIsAskedNowAndThen(t *testing.T) {
 	b := newTestBank()
-	b.Hear(0, limited("a", 0))
+	b.Observe(0, limited("a", 0))
 	got := 0
 	for now := time.Duration(0); now < 100*time.Second; now += 10 * time.Millisecond {
 		if b.Take(now, wish(int(now), "a")).Granted {
@@ -179,7 +179,7 @@
 // demand asks at its rate, in requests a second.
 func share(rate float64, demands map[coordapi.Claimant]float64) map[coordapi.Claimant]float64 {
 	b := newTestBank()
-	b.Hear(0, limited("a", rate))
+	b.Observe(0, limited("a", rate))
 	random := rand.New(rand.NewPCG(7, 1))
 	who := slices.SortedFunc(maps.Keys(demands), func(x, y coordapi.Claimant) int { return cmp.Compare(demands[x], demands[y]) })
 	asked, got := map[coordapi.Claimant]float64{}, map[coordapi.Claimant]float64{}
@@ -233,35 +233,35 @@
 // in a bounded time.
 func TestThoseWhoAreTurnedAwayComeBackOneBehindTheOther(t *testing.T) {
 	b := newTestBank()
-	b.Hear(0, limited("a", 3))
-	b.Hear(0, limited("b", 1))
+	b.Observe(0, limited("a", 3))
+	b.Observe(0, limited("b", 1))
 	for i := range 10 {
-		assert.Equal(t, b.Room(0, "p"), time.Duration(i+1)*250*time.Millisecond)
+		assert.Equal(t, b.RetryAfter(0, "p"), time.Duration(i+1)*250*time.Millisecond)
 	}
 	for range 100 {
-		assert.Assert(t, b.Room(0, "p") <= longestRoom)
+		assert.Assert(t, b.RetryAfter(0, "p") <= longestRoom)
 	}
-	assert.Equal(t, b.Room(time.Minute, "p"), 250*time.Millisecond)
-	b.Hear(2*time.Minute, over("a"))
-	assert.Equal(t, b.Room(2*time.Minute, "p"), time.Second)
-	assert.Equal(t, b.Room(2*time.Minute, "other"), time.Duration(0))
+	assert.Equal(t, b.RetryAfter(time.Minute, "p"), 250*time.Millisecond)
+	b.Observe(2*time.Minute, over("a"))
+	assert.Equal(t, b.RetryAfter(2*time.Minute, "p"), time.Second)
+	assert.Equal(t, b.RetryAfter(2*time.Minute, "other"), time.Duration(0))
 }
 
 // What routers tell is taken for no more than an answer can say.
 func TestFiguresOfOtherProcessesAreBounded(t *testing.T) {
 	b := newTestBank()
 	for i, rate := range []float64{-5, 1e308, 1e308, 3} {
-		b.Hear(0, []coordapi.LimitWord{{ID: "a", Pool: "p", Limited: true, Rate: rate, Sent: -time.Hour, Heard: -time.Hour}})
-		b.Hear(0, limited(fmt.Sprint(i), rate))
+		b.Observe(0, []coordapi.LimitWord{{ID: "a", Pool: "p", Limited: true, Rate: rate, Sent: -time.Hour, Heard: -time.Hour}})
+		b.Observe(0, limited(fmt.Sprint(i), rate))
 	}
-	b.Depart([]string{"a", "0", "1", "2"})
-	assert.Equal(t, b.Room(0, "p"), time.Second/3)
+	b.Remove([]string{"a", "0", "1", "2"})
+	assert.Equal(t, b.RetryAfter(0, "p"), time.Second/3)
 }
 
 func TestWhatTheBankKeepsIsBounded(t *testing.T) {
 	b := newTestBank()
 	for i := range 5 * maxKept {
-		b.Hear(0, limited(fmt.Sprint(i), 1))
+		b.Observe(0, limited(fmt.Sprint(i), 1))
 	}
 	assert.Equal(t, len(b.starts), 4*maxKept)
 	for i := range 1000 {
@@ -273,14 +273,14 @@
 	assert.Assert(t, len(b.starts["0"].granted) <= maxTenants)
 }
 
-func ExampleBank() {
-	b := NewBank(slog.New(slog.DiscardHandler))
-	b.Lead(true)
-	b.Lease(time.Minute)
-	b.Hear(0, []coordapi.LimitWord{{ID: "engine-7", Pool: "chat", Limited: true, Rate: 2}})
-	fmt.Println(b.Take(0, Wish{Router: "r1", Number: 1, Backend: "engine-7"}).Granted)
-	fmt.Println(b.Take(0, Wish{Router: "r2", Number: 1, Backend: "engine-7"}).Wait)
-	fmt.Println(b.Room(0, "chat"))
+func ExampleLimiter() {
+	b := NewLimiter(slog.New(slog.DiscardHandler))
+	b.SetLeading(true)
+	b.SetLease(time.Minute)
+	b.Observe(0, []coordapi.LimitWord{{ID: "engine-7", Pool: "chat", Limited: true, Rate: 2}})
+	fmt.Println(b.Take(0, Request{Router: "r1", Number: 1, Backend: "engine-7"}).Granted)
+	fmt.Println(b.Take(0, Request{Router: "r2", Number: 1, Backend: "engine-7"}).Wait)
+	fmt.Println(b.RetryAfter(0, "chat"))
 	// Output:
 	// true
 	// 500ms
@@ -291,7 +291,7 @@
 func BenchmarkTake(b *testing.B) {
 	bank := newTestBank()
 	for i := range 1000 {
-		bank.Hear(0, limited(fmt.Sprint(i), 1e6))
+		bank.Observe(0, limited(fmt.Sprint(i), 1e6))
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/internal/ratelimit/register.go
+++ b/internal/ratelimit/register.go
@@ -44,18 +44,18 @@
 	maxUnused = 1024
 )
 
-// Register is what this process knows of limits, and the look before each send. It is safe
+// Registry is what this process knows of limits, and the look before each send. It is safe
 // for concurrent use.
-type Register struct {
+type Registry struct {
 	headers vocabulary.Headers
 	logger  *slog.Logger
 	// clock is clock.Now but in tests.
 	clock func() time.Duration
-	// Named counts the answers that named a limit, Used the rights with which something was
+	// LimitedResponses counts the answers that named a limit, Used the rights with which something was
 	// sent, and Kept the sends that were kept back for want of one.
-	Named atomic.Uint64
-	Used  atomic.Uint64
-	Kept  atomic.Uint64
+	LimitedResponses atomic.Uint64
+	PermitsUsed      atomic.Uint64
+	SendsBlocked     atomic.Uint64
 
 	mu sync.Mutex
 	// starts are those that have named a limit in an answer to this process.
@@ -67,26 +67,26 @@
 	// unused are the numbers of rights that were not used.
 	unused []uint64
 	// unreadable are the log lines on answers that can't be read.
-	unreadable bounded.Lines
+	unreadable bounded.LineLimiter
 }
 
 // start is what one start of a back end has said.
 type start struct {
 	pool  string
 	word  word
-	lines bounded.Lines
+	lines bounded.LineLimiter
 }
 
 // New returns a register of nothing.
-func New(headers vocabulary.Headers, logger *slog.Logger) *Register {
-	return &Register{headers: headers, logger: logger, clock: clock.Now, starts: map[coordapi.BackendID]*start{},
+func New(headers vocabulary.Headers, logger *slog.Logger) *Registry {
+	return &Registry{headers: headers, logger: logger, clock: clock.Now, starts: map[coordapi.BackendID]*start{},
 		announced: map[coordapi.BackendID]struct{}{}, untold: map[coordapi.BackendID]struct{}{}}
 }
 
-// Answered takes what the head of an answer says of the limit of the back end that its
+// ObserveResponse takes what the head of an answer says of the limit of the back end that its
 // request was meant for. Sent is when that was written, by clock.Now, and instance how it
 // named the back end.
-func (g *Register) Answered(from pushback.Backend, instance string, sent time.Duration, answer *http.Response) {
+func (g *Registry) ObserveResponse(from pushback.Backend, instance string, sent time.Duration, answer *http.Response) {
 	if from.ID == "" || !g.headers.IsFrom(instance, answer) {
 		return
 	}
@@ -105,7 +105,7 @@
 		return
 	}
 	if limited {
-		g.Named.Add(1)
+		g.LimitedResponses.Add(1)
 	}
 	w := word{sent: sent, heard: now, limited: limited, rate: rate}
 	if s == nil {
@@ -119,7 +119,7 @@
 }
 
 // hear keeps the word that holds now, and says what it changes.
-func (g *Register) hear(from pushback.Backend, s *start, w word, status int) {
+func (g *Registry) hear(from pushback.Backend, s *start, w word, status int) {
 	before := s.word
 	s.word = w
 	if w.same(before) {
@@ -141,7 +141,7 @@
 
 // makeRoom forgets what is long over, and the starts heard of least lately if there are
 // still too many.
-func (g *Register) makeRoom(now time.Duration) {
+func (g *Registry) makeRoom(now time.Duration) {
 	if len(g.starts) < maxKept {
 		return
 	}
@@ -154,13 +154,13 @@
 }
 
 // Limited tells whether a start may be sent to with a right only.
-func (g *Register) Limited(id coordapi.BackendID) bool {
+func (g *Registry) Limited(id coordapi.BackendID) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.limited(id)
 }
 
-func (g *Register) limited(id coordapi.BackendID) bool {
+func (g *Registry) limited(id coordapi.BackendID) bool {
 	if s := g.starts[id]; s != nil && s.word.limited {
 		return true
 	}
@@ -168,22 +168,22 @@
 	return is
 }
 
-// Look returns nil if something may be sent to a start with a right, else an error marked
+// Check returns nil if something may be sent to a start with a right, else an error marked
 // ErrNoRight.
-func (g *Register) Look(id coordapi.BackendID, r *Right) error {
+func (g *Registry) Check(id coordapi.BackendID, r *Permit) error {
 	return g.look(id, r, r.holds)
 }
 
-// Spend is Look just before the write: it uses the right up.
-func (g *Register) Spend(id coordapi.BackendID, r *Right) error {
+// Consume is Look just before the write: it uses the right up.
+func (g *Registry) Consume(id coordapi.BackendID, r *Permit) error {
 	err := g.look(id, r, r.spend)
 	if err == nil && r != nil && !r.free() {
-		g.Used.Add(1)
+		g.PermitsUsed.Add(1)
 	}
 	return err
 }
 
-func (g *Register) look(id coordapi.BackendID, r *Right, holds func(time.Duration, coordapi.BackendID) bool) error {
+func (g *Registry) look(id coordapi.BackendID, r *Permit, holds func(time.Duration, coordapi.BackendID) bool) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	// A right is used up also where no limit is known here: who granted it counts it.
@@ -194,31 +194,31 @@
 	if !g.limited(id) {
 		return nil
 	}
-	g.Kept.Add(1)
-	return fmt.Errorf("%w, and no right is held", ErrNoRight)
+	g.SendsBlocked.Add(1)
+	return fmt.Errorf("%w, and no right is held", ErrNoPermit)
 }
 
 // doubt tells the leader once more of a limit that has been heard here and not there: it has
 // said that the start may be sent to freely.
-func (g *Register) doubt(id coordapi.BackendID, r *Right) {
+func (g *Registry) doubt(id coordapi.BackendID, r *Permit) {
 	if s := g.starts[id]; r != nil && r.free() && s != nil && s.word.limited {
 		g.untold[id] = struct{}{}
 	}
 }
 
-// GiveBack notes that nothing will be sent with a right any more. One that was used, or is
+// Release notes that nothing will be sent with a right any more. One that was used, or is
 // nil, stays as it is.
-func (g *Register) GiveBack(r *Right) {
+func (g *Registry) Release(r *Permit) {
 	if r == nil || r.free() || r.spent.Swap(true) {
 		return
 	}
-	g.Lost(r.number)
+	g.ReleaseNumbers(r.number)
 }
 
-// Lost notes rights that nothing will be sent with, by their numbers: a placement or claim
+// ReleaseNumbers notes rights that nothing will be sent with, by their numbers: a placement or claim
 // may have been granted of which nothing was heard, or that a right was not used may not have
 // been heard. A nil register has none.
-func (g *Register) Lost(numbers ...uint64) {
+func (g *Registry) ReleaseNumbers(numbers ...uint64) {
 	if g == nil {
 		return
 	}
@@ -230,9 +230,9 @@
 	}
 }
 
-// Unused returns the numbers of the rights that were not used, since the last call. A nil
+// TakeReleased returns the numbers of the rights that were not used, since the last call. A nil
 // register has none.
-func (g *Register) Unused() []uint64 {
+func (g *Registry) TakeReleased() []uint64 {
 	if g == nil {
 		return nil
 	}
@@ -243,9 +243,9 @@
 	return out
 }
 
-// Announced takes the starts of which the leader says that they have a limit, in place of
+// SetAnnounced takes the starts of which the leader says that they have a limit, in place of
 // those that it named before. A nil register takes none.
-func (g *Register) Announced(ids []coordapi.BackendID) {
+func (g *Registry) SetAnnounced(ids []coordapi.BackendID) {
 	if g == nil {
 		return
 	}
@@ -257,8 +257,8 @@
 	}
 }
 
-// News returns the words that the leader has not been told. A nil register has none.
-func (g *Register) News() []coordapi.LimitWord {
+// TakeUnreported returns the words that the leader has not been told. A nil register has none.
+func (g *Registry) TakeUnreported() []coordapi.LimitWord {
 	if g == nil {
 		return nil
 	}
@@ -278,9 +278,9 @@
 	return out
 }
 
-// TellAgain makes News return all limits that hold once more: a new leader may not know
+// ReportAgain makes News return all limits that hold once more: a new leader may not know
 // them. A nil register has none.
-func (g *Register) TellAgain() {
+func (g *Registry) ReportAgain() {
 	if g == nil {
 		return
 	}
@@ -293,9 +293,9 @@
 	}
 }
 
-// Untold makes News return words once more that no leader has taken. A nil register has
+// Requeue makes News return words once more that no leader has taken. A nil register has
 // none.
-func (g *Register) Untold(words []coordapi.LimitWord) {
+func (g *Registry) Requeue(words []coordapi.LimitWord) {
 	if g == nil {
 		return
 	}
@@ -308,8 +308,8 @@
 	}
 }
 
-// InForce is how many starts may be sent to with a right only.
-func (g *Register) InForce() int {
+// LimitedCount is how many starts may be sent to with a right only.
+func (g *Registry) LimitedCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	count := len(g.announced)
--- a/internal/ratelimit/right.go
+++ b/internal/ratelimit/right.go
@@ -9,13 +9,13 @@
 	"quinceridge.example/quinceridge/internal/coordapi"
 )
 
-// ErrNoRight marks what is not sent because its back end takes only so much from all
+// ErrNoPermit marks what is not sent because its back end takes only so much from all
 // machines together, and nobody has granted it.
-var ErrNoRight = errors.New("the back end takes only so much from all machines")
+var ErrNoPermit = errors.New("the back end takes only so much from all machines")
 
-// Right is the right to send one request to one start of a back end. It is used up by the
+// Permit is the right to send one request to one start of a back end. It is used up by the
 // send; one that is not used goes back to who granted it, once.
-type Right struct {
+type Permit struct {
 	backend coordapi.BackendID
 	// number names it to who granted it.
 	number uint64
@@ -24,38 +24,38 @@
 	spent atomic.Bool
 }
 
-// Free returns a right to a start that names no limit, for all that the leader knows.
-func Free(id coordapi.BackendID) *Right { return &Right{backend: id} }
+// UnlimitedPermit returns a right to a start that names no limit, for all that the leader knows.
+func UnlimitedPermit(id coordapi.BackendID) *Permit { return &Permit{backend: id} }
 
-// Granted returns a right that was asked for at a time by clock.Now, under a number, and
+// NewPermit returns a right that was asked for at a time by clock.Now, under a number, and
 // lasts for a term from then on: it may have been granted at any time since.
-func Granted(id coordapi.BackendID, number uint64, asked, term time.Duration) *Right {
-	return &Right{backend: id, number: number, until: asked + term}
+func NewPermit(id coordapi.BackendID, number uint64, asked, term time.Duration) *Permit {
+	return &Permit{backend: id, number: number, until: asked + term}
 }
 
-// Right is what a verdict allows, nil for nothing.
-func (v Verdict) Right(id coordapi.BackendID, number uint64, asked time.Duration) *Right {
+// Permit is what a verdict allows, nil for nothing.
+func (v Verdict) Permit(id coordapi.BackendID, number uint64, asked time.Duration) *Permit {
 	switch {
-	case v.Free:
-		return Free(id)
+	case v.Unlimited:
+		return UnlimitedPermit(id)
 	case v.Granted:
-		return Granted(id, number, asked, Term)
+		return NewPermit(id, number, asked, PermitTTL)
 	}
 	return nil
 }
 
 // Number names the right to who granted it.
-func (r *Right) Number() uint64 { return r.number }
+func (r *Permit) Number() uint64 { return r.number }
 
 // free tells whether the right lasts, since there is no limit.
-func (r *Right) free() bool { return r.until == 0 }
+func (r *Permit) free() bool { return r.until == 0 }
 
 // holds tells whether something may be sent to a start with the right. A nil right is none.
-func (r *Right) holds(now time.Duration, id coordapi.BackendID) bool {
+func (r *Permit) holds(now time.Duration, id coordapi.BackendID) bool {
 	return r != nil && r.backend == id && (r.free() || now < r.until) && !r.spent.Load()
 }
 
 // spend uses the right up, and tells whether it held.
-func (r *Right) spend(now time.Duration, id coordapi.BackendID) bool {
+func (r *Permit) spend(now time.Duration, id coordapi.BackendID) bool {
 	return r.holds(now, id) && (!r.spent.Swap(true) || r.free())
 }
--- a/internal/ratelimit/ways_test.go
+++ b/internal/ratelimit/ways_test.go
@@ -73,7 +73,7 @@
 
 // granted: the leader grants each right, which is used a moment later.
 type granted struct {
-	bank   *Bank
+	bank   *Limiter
 	number int
 }
 
@@ -90,7 +90,7 @@
 		parts[i].level = random.Float64()
 	}
 	bank := newTestBank()
-	bank.Hear(0, limited("a", rate))
+	bank.Observe(0, limited("a", rate))
 	return map[string]way{
 		"each alone":        &eachAlone{full(), rate},
 		"even split":        &split{parts, rate},
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -33,7 +33,7 @@
 	if err := a.pool.pushbacks.Look(r.Backend.ID); err != nil {
 		return &callError{mark: ErrNotSent, cause: err}
 	}
-	if err := a.pool.limits.Spend(r.Backend.ID, r.Right); err != nil {
+	if err := a.pool.limits.Consume(r.Backend.ID, r.Right); err != nil {
 		return &callError{mark: ErrNotSent, cause: err}
 	}
 	sent := clock.Now()
@@ -77,7 +77,7 @@
 		}
 		if response.Header.Get(a.pool.idHeader) == r.ID {
 			a.pool.pushbacks.Answered(r.Backend, r.Instance, response)
-			a.pool.limits.Answered(r.Backend, r.Instance, sent, response)
+			a.pool.limits.ObserveResponse(r.Backend, r.Instance, sent, response)
 			return response, nil
 		}
 		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBody)); err != nil {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -78,7 +78,7 @@
 	Backend  pushback.Backend
 	Instance string
 	// Right is needed where the back end takes only so much from all machines; else nil.
-	Right *ratelimit.Right
+	Right *ratelimit.Permit
 	// Once says that the request must not be sent over a connection that may
 	// be about to close.
 	Once bool
@@ -93,7 +93,7 @@
 	pushbacks *pushback.Register
 	// limits takes what answers say of how much back ends take from all machines, and says
 	// what may not be sent without a right.
-	limits *ratelimit.Register
+	limits *ratelimit.Registry
 	dialer net.Dialer
 	// Opened counts new connections.
 	Opened atomic.Uint64
@@ -103,7 +103,7 @@
 }
 
 // NewPool returns a pool without connections.
-func NewPool(idHeader string, pushbacks *pushback.Register, limits *ratelimit.Register) *Pool {
+func NewPool(idHeader string, pushbacks *pushback.Register, limits *ratelimit.Registry) *Pool {
 	p := &Pool{idHeader: idHeader, pushbacks: pushbacks, limits: limits, idle: map[string][]*connection{}}
 	p.dialer = net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: socket.UserTimeout(userTimeout)}
 	return p
@@ -195,7 +195,7 @@
 	if err := p.pushbacks.Look(r.Backend.ID); err != nil {
 		return nil, &callError{mark: ErrNotSent, cause: err}
 	}
-	if err := p.limits.Look(r.Backend.ID, r.Right); err != nil {
+	if err := p.limits.Check(r.Backend.ID, r.Right); err != nil {
 		return nil, &callError{mark: ErrNotSent, cause: err}
 	}
 	c := p.take(address, r.Once)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -28,7 +28,7 @@
 	return pushback.New(vocabulary.Default(), slog.New(slog.DiscardHandler))
 }
 
-func unlimited() *ratelimit.Register {
+func unlimited() *ratelimit.Registry {
 	return ratelimit.New(vocabulary.Default(), slog.New(slog.DiscardHandler))
 }
 
