--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -64,10 +64,10 @@
 		return errors.New("no answer")
 	}
 	if o.Expected != e.orders {
-		return ErrMismatch
+		return ErrOrderConflict
 	}
 	if e.version >= o.Version {
-		return ErrHeld
+		return ErrAlreadyLoaded
 	}
 	e.orders++
 	e.version = o.Version
--- a/internal/coordinator/drain_test.go
+++ b/internal/coordinator/drain_test.go
@@ -94,7 +94,7 @@
 	assert.Assert(t, engines.Load(t.Context(), order) != nil)
 	assert.DeepEqual(t, engines.Draining(), []coordapi.BackendID{"x"})
 	for range 10 {
-		assert.ErrorIs(t, engines.Load(t.Context(), order), ErrUnreached)
+		assert.ErrorIs(t, engines.Load(t.Context(), order), ErrUnreachable)
 		_, err := engines.Report(t.Context(), to)
 		assert.Assert(t, err != nil)
 	}
--- a/internal/coordinator/enginecalls.go
+++ b/internal/coordinator/enginecalls.go
@@ -14,24 +14,24 @@
 	"quinceridge.example/quinceridge/internal/vocabulary"
 )
 
-// EngineCalls carries a coordinator's calls to engines, in whatever words. An engine that
+// EngineClient carries a coordinator's calls to engines, in whatever words. An engine that
 // wants nothing for a while gets neither orders nor reports: they count as requests of
 // this machine as those of a router do.
-type EngineCalls struct {
+type EngineClient struct {
 	headers   vocabulary.Headers
 	pushbacks *pushback.Register
 	limits    *ratelimit.Register
 	pool      *upstream.Pool
 }
 
-// NewEngineCalls returns a carrier without connections.
-func NewEngineCalls(headers vocabulary.Headers, logger *slog.Logger) *EngineCalls {
+// NewEngineClient returns a carrier without connections.
+func NewEngineClient(headers vocabulary.Headers, logger *slog.Logger) *EngineClient {
 	pushbacks, limits := pushback.New(headers, logger), ratelimit.New(headers, logger)
-	return &EngineCalls{headers: headers, pushbacks: pushbacks, limits: limits, pool: upstream.NewPool(headers.RequestID, pushbacks, limits)}
+	return &EngineClient{headers: headers, pushbacks: pushbacks, limits: limits, pool: upstream.NewPool(headers.RequestID, pushbacks, limits)}
 }
 
 // Call makes a call to one start of an engine and reads its answer.
-func (e *EngineCalls) Call(ctx context.Context, to Target, method, path string, body []byte) (int, []byte, error) {
+func (e *EngineClient) Call(ctx context.Context, to Target, method, path string, body []byte) (int, []byte, error) {
 	header := http.Header{}
 	header.Set(e.headers.Instance, to.Instance)
 	if body != nil {
@@ -42,12 +42,12 @@
 	return e.pool.Call(ctx, to.Address, request, maxCall)
 }
 
-// Order gives an order and reads what the engine makes of it: nil for one that is under
+// SendOrder gives an order and reads what the engine makes of it: nil for one that is under
 // way, else an error marked as Engines says.
-func (e *EngineCalls) Order(ctx context.Context, to Target, path string, body []byte) error {
+func (e *EngineClient) SendOrder(ctx context.Context, to Target, path string, body []byte) error {
 	status, _, err := e.Call(ctx, to, http.MethodPost, path, body)
 	if errors.Is(err, upstream.ErrNotSent) {
-		return fmt.Errorf("%w: %w", ErrUnreached, err)
+		return fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	if err != nil {
 		return err
@@ -56,24 +56,24 @@
 	case http.StatusAccepted:
 		return nil
 	case http.StatusOK:
-		return ErrHeld
+		return ErrAlreadyLoaded
 	case http.StatusConflict:
-		return ErrMismatch
+		return ErrOrderConflict
 	case http.StatusPreconditionFailed:
 		return ErrFenced
 	case http.StatusMisdirectedRequest:
-		return ErrOtherInstance
+		return ErrWrongInstance
 	}
 	return fmt.Errorf("the engine answered the order with %d", status)
 }
 
 // Draining implements Engines.
-func (e *EngineCalls) Draining() []coordapi.BackendID {
+func (e *EngineClient) Draining() []coordapi.BackendID {
 	return draining(e.pushbacks.News())
 }
 
 // Limits implements Engines.
-func (e *EngineCalls) Limits(all bool) []coordapi.LimitWord {
+func (e *EngineClient) Limits(all bool) []coordapi.LimitWord {
 	if all {
 		e.limits.TellAgain()
 	}
--- a/internal/coordinator/http.go
+++ b/internal/coordinator/http.go
@@ -124,7 +124,7 @@
 		err = beat.Check()
 	}
 	if err != nil {
-		s.Unreadable(beat.Backend.ID, err)
+		s.RecordUnreadable(beat.Backend.ID, err)
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -173,11 +173,11 @@
 
 // HTTPEngines carries orders to engines that speak the product's own words:
 // POST /v1/load with a LoadOrder and GET /v1/state with an EngineReport.
-type HTTPEngines struct{ *EngineCalls }
+type HTTPEngines struct{ *EngineClient }
 
 // NewHTTPEngines returns a carrier without connections.
 func NewHTTPEngines(logger *slog.Logger) HTTPEngines {
-	return HTTPEngines{NewEngineCalls(vocabulary.Default(), logger)}
+	return HTTPEngines{NewEngineClient(vocabulary.Default(), logger)}
 }
 
 // Load implements Engines.
@@ -186,7 +186,7 @@
 	if err != nil {
 		return fmt.Errorf("encode order: %w", err)
 	}
-	return e.Order(ctx, order.Target, "/v1/load", body)
+	return e.SendOrder(ctx, order.Target, "/v1/load", body)
 }
 
 // Report implements Engines.
--- a/internal/coordinator/orders.go
+++ b/internal/coordinator/orders.go
@@ -59,17 +59,17 @@
 
 // Answers to an order.
 var (
-	// ErrHeld says that the engine holds the version already.
-	ErrHeld = errors.New("the engine holds this version")
-	// ErrMismatch says that the engine took another number of orders, or one is
+	// ErrAlreadyLoaded says that the engine holds the version already.
+	ErrAlreadyLoaded = errors.New("the engine holds this version")
+	// ErrOrderConflict says that the engine took another number of orders, or one is
 	// under way.
-	ErrMismatch = errors.New("the engine expected another order")
+	ErrOrderConflict = errors.New("the engine expected another order")
 	// ErrFenced says that the engine has seen a higher fence.
 	ErrFenced = errors.New("the engine has seen a higher fence")
-	// ErrOtherInstance says that another instance has the address.
-	ErrOtherInstance = errors.New("another instance has the address")
-	// ErrUnreached says that nothing was sent: the engine is down or cut off.
-	ErrUnreached = errors.New("the engine cannot be reached")
+	// ErrWrongInstance says that another instance has the address.
+	ErrWrongInstance = errors.New("another instance has the address")
+	// ErrUnreachable says that nothing was sent: the engine is down or cut off.
+	ErrUnreachable = errors.New("the engine cannot be reached")
 )
 
 // Engines carries calls to model engines.
@@ -99,7 +99,7 @@
 	if err == nil {
 		err = s.awaitLoaded(ctx, row, model, version)
 	}
-	held := err == nil || errors.Is(err, ErrHeld)
+	held := err == nil || errors.Is(err, ErrAlreadyLoaded)
 	s.change(context.WithoutCancel(ctx), row.ID, func(b *state.Backend) {
 		b.Loading = nil
 		if held {
@@ -183,18 +183,18 @@
 		case err == nil:
 			s.change(ctx, row.ID, func(b *state.Backend) { b.Orders = order.Expected + 1 })
 			return nil
-		case errors.Is(err, ErrHeld), errors.Is(err, ErrFenced), errors.Is(err, ErrOtherInstance):
+		case errors.Is(err, ErrAlreadyLoaded), errors.Is(err, ErrFenced), errors.Is(err, ErrWrongInstance):
 			return err
-		case errors.Is(err, ErrUnreached):
+		case errors.Is(err, ErrUnreachable):
 			// It is down: its place among those that load is for others.
 			return err
 		}
-		if !errors.Is(err, ErrMismatch) {
+		if !errors.Is(err, ErrOrderConflict) {
 			periodic.Pause(ctx, orderPause)
 			continue
 		}
 		if held, failure := s.expect(ctx, row, &order); failure == nil && held {
-			return ErrHeld
+			return ErrAlreadyLoaded
 		}
 		periodic.Pause(ctx, reportEvery)
 	}
@@ -261,7 +261,7 @@
 	report, err := s.engines.Report(ctx, to)
 	s.settleRight(to, err)
 	if err == nil && !row.Start().Same(state.Start{Name: row.Name(), Born: report.Born}) {
-		return EngineReport{}, ErrOtherInstance
+		return EngineReport{}, ErrWrongInstance
 	}
 	return report, err
 }
--- a/internal/coordinator/place_test.go
+++ b/internal/coordinator/place_test.go
@@ -75,7 +75,7 @@
 
 func (d downEngines) Load(_ context.Context, o LoadOrder) error {
 	d.asked <- o.Instance
-	return ErrUnreached
+	return ErrUnreachable
 }
 
 func (downEngines) Report(context.Context, Target) (EngineReport, error) {
@@ -97,6 +97,6 @@
 	var term uint64
 	s.loop.Do(context.Background(), func(time.Duration) { term = s.core.Status().Term })
 	err := s.order(context.Background(), state.Backend{ID: "x", Address: "x"}, "m", 2, term)
-	assert.Assert(t, errors.Is(err, ErrUnreached))
+	assert.Assert(t, errors.Is(err, ErrUnreachable))
 	assert.Equal(t, len(asked), 1)
 }
--- a/internal/coordinator/pools.go
+++ b/internal/coordinator/pools.go
@@ -6,8 +6,8 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// ErrNoPool says that a heartbeat names a pool that the configuration in force does not.
-var ErrNoPool = errors.New("the configuration names no such pool")
+// ErrUnknownPool says that a heartbeat names a pool that the configuration in force does not.
+var ErrUnknownPool = errors.New("the configuration names no such pool")
 
 // pools are the pools of the configuration in force, as of a revision of it. They belong to
 // the run goroutine.
@@ -47,7 +47,7 @@
 	case p.names(pool), known && old.Pool == pool:
 		return true, nil
 	case known:
-		return false, ErrNoPool
+		return false, ErrUnknownPool
 	}
 	return false, nil
 }
--- a/internal/coordinator/registry.go
+++ b/internal/coordinator/registry.go
@@ -46,7 +46,7 @@
 		return row, changed || s.enrolment.ahead(row.ID) != nil
 	})
 	if refused != nil {
-		s.Unreadable(b.Backend.Name(), refused)
+		s.RecordUnreadable(b.Backend.Name(), refused)
 		return reply, refused
 	}
 	return reply, err
--- a/internal/coordinator/starts_test.go
+++ b/internal/coordinator/starts_test.go
@@ -244,8 +244,8 @@
 		_, err := g.servers[0].Call(context.Background(), w)
 		return err
 	}
-	assert.ErrorIs(t, stray("x", 100), ErrNoPool)
-	assert.ErrorIs(t, stray("x", 0), ErrNoPool)
+	assert.ErrorIs(t, stray("x", 100), ErrUnknownPool)
+	assert.ErrorIs(t, stray("x", 0), ErrUnknownPool)
 	assert.NilError(t, stray("x", 900))
 	assert.NilError(t, stray("y", 900))
 	g.call(0, word("x", 100, 2, false, 2))
