--- a/internal/state/blocked.go
+++ b/internal/state/blocked.go
@@ -6,39 +6,42 @@
 	"quinceridge.example/quinceridge/internal/poison"
 )
 
-// rememberedBlocked bounds how many requests are blocked at once, and
-// rememberedCleared how many that were. The oldest go first.
+// maxBlocked bounds the blocked requests and maxCleared the cleared ones. The oldest are
+// evicted first.
 const (
-	rememberedBlocked = 256
-	rememberedCleared = 256
+	maxBlocked = 256
+	maxCleared = 256
 )
 
-// Block keeps a request from back ends: those named have ended while they ran it.
+// Block stops a poison request from being sent to back ends.
 type Block struct {
-	Request  poison.Digest `json:"request"`
-	Backends []string      `json:"backends"`
+	Request poison.Digest `json:"request"`
+	// Backends are the back ends that ended while they ran the request.
+	Backends []string `json:"backends"`
 }
 
-// Unblock lets a request reach back ends again, and voids what was held against it.
+// Unblock allows a blocked request to be sent to back ends again and discards the evidence
+// against it.
 type Unblock struct {
 	Request poison.Digest `json:"request"`
 }
 
-// BlockedRequest is a request that is kept from back ends.
+// BlockedRequest is a request that must not be sent to back ends.
 type BlockedRequest struct {
 	Request poison.Digest `json:"request"`
-	// Backends are the back ends that ended while they ran it.
+	// Backends are the back ends that ended while they ran the request.
 	Backends []string `json:"backends"`
-	// At is when it was blocked, in Unix milliseconds, for people to read, and Revision
-	// the log index.
+	// At is the time of the block in Unix milliseconds, for display only, and Revision the
+	// log index of the block.
 	At       int64  `json:"at"`
 	Revision uint64 `json:"revision"`
 }
 
-// ClearedRequest is a request that is blocked no more.
+// ClearedRequest is a request that was unblocked.
 type ClearedRequest struct {
-	Request  poison.Digest `json:"request"`
-	Revision uint64        `json:"revision"`
+	Request poison.Digest `json:"request"`
+	// Revision is the log index of the Unblock command.
+	Revision uint64 `json:"revision"`
 }
 
 func (m *Machine) block(index uint64, b *Block) Result {
@@ -47,7 +50,7 @@
 		return Result{Code: CodeOK}
 	}
 	d.Blocked = append(d.Blocked, BlockedRequest{Request: b.Request, Backends: b.Backends, At: m.data.Now, Revision: index})
-	if len(d.Blocked) > rememberedBlocked {
+	if len(d.Blocked) > maxBlocked {
 		d.Blocked = d.Blocked[1:]
 	}
 	d.BlockedRevision = index
@@ -61,14 +64,14 @@
 	}
 	d.Blocked = slices.DeleteFunc(slices.Clone(d.Blocked), func(b BlockedRequest) bool { return b.Request == u.Request })
 	d.Cleared = append(d.Cleared, ClearedRequest{Request: u.Request, Revision: index})
-	if len(d.Cleared) > rememberedCleared {
+	if len(d.Cleared) > maxCleared {
 		d.Cleared = d.Cleared[1:]
 	}
 	d.BlockedRevision = index
 	return Result{Code: CodeOK}
 }
 
-// IsBlocked tells whether a request is kept from back ends.
+// IsBlocked reports whether a request is blocked.
 func (d *Deployment) IsBlocked(request poison.Digest) bool {
 	return slices.ContainsFunc(d.Blocked, func(b BlockedRequest) bool { return b.Request == request })
 }
--- a/internal/state/blocked_test.go
+++ b/internal/state/blocked_test.go
@@ -9,8 +9,8 @@
 	"quinceridge.example/quinceridge/internal/poison"
 )
 
-// apply runs a command as the entry after the last.
-func apply(t *testing.T, m *Machine, c Command) Result {
+// applyCommand applies a command as the next log entry and returns its result.
+func applyCommand(t *testing.T, m *Machine, c Command) Result {
 	t.Helper()
 	text, err := json.Marshal(c)
 	assert.NilError(t, err)
@@ -19,33 +19,33 @@
 	return result
 }
 
-func TestABlockedRequestStaysUntilItIsLetGo(t *testing.T) {
+func TestBlockedRequestRemainsUntilUnblocked(t *testing.T) {
 	m := New()
-	apply(t, m, Command{At: 1000, Block: &Block{Request: 7, Backends: []string{"a", "b", "c"}}})
-	apply(t, m, Command{At: 2000, Block: &Block{Request: 7, Backends: []string{"d"}}})
+	applyCommand(t, m, Command{At: 1000, Block: &Block{Request: 7, Backends: []string{"a", "b", "c"}}})
+	applyCommand(t, m, Command{At: 2000, Block: &Block{Request: 7, Backends: []string{"d"}}})
 	assert.DeepEqual(t, m.Deployment().Blocked, []BlockedRequest{{Request: 7, Backends: []string{"a", "b", "c"}, At: 1000, Revision: 1}})
 	snapshot, err := m.Snapshot()
 	assert.NilError(t, err)
 	restored := New()
 	assert.NilError(t, restored.Restore(snapshot))
 	assert.Assert(t, restored.Deployment().IsBlocked(7))
-	assert.Equal(t, apply(t, m, Command{Unblock: &Unblock{Request: 8}}).Code, CodeUnknown)
-	assert.Equal(t, apply(t, m, Command{Unblock: &Unblock{Request: 7}}).Code, CodeOK)
+	assert.Equal(t, applyCommand(t, m, Command{Unblock: &Unblock{Request: 8}}).Code, CodeUnknown)
+	assert.Equal(t, applyCommand(t, m, Command{Unblock: &Unblock{Request: 7}}).Code, CodeOK)
 	assert.Assert(t, !m.Deployment().IsBlocked(7))
 	assert.DeepEqual(t, m.Deployment().Cleared, []ClearedRequest{{Request: 7, Revision: 4}})
 }
 
 func TestBlockedRequestsAreBounded(t *testing.T) {
 	m := New()
-	for i := range 2 * rememberedBlocked {
-		apply(t, m, Command{Block: &Block{Request: poison.Digest(i + 1)}})
+	for i := range 2 * maxBlocked {
+		applyCommand(t, m, Command{Block: &Block{Request: poison.Digest(i + 1)}})
 	}
-	assert.Equal(t, len(m.Deployment().Blocked), rememberedBlocked)
-	assert.Assert(t, m.Deployment().IsBlocked(2*rememberedBlocked))
+	assert.Equal(t, len(m.Deployment().Blocked), maxBlocked)
+	assert.Assert(t, m.Deployment().IsBlocked(2*maxBlocked))
 	assert.Assert(t, !m.Deployment().IsBlocked(1))
-	for i := range 2 * rememberedBlocked {
-		apply(t, m, Command{Unblock: &Unblock{Request: poison.Digest(i + 1)}})
+	for i := range 2 * maxBlocked {
+		applyCommand(t, m, Command{Unblock: &Unblock{Request: poison.Digest(i + 1)}})
 	}
 	assert.Equal(t, len(m.Deployment().Blocked), 0)
-	assert.Assert(t, len(m.Deployment().Cleared) <= rememberedCleared)
+	assert.Assert(t, len(m.Deployment().Cleared) <= maxCleared)
 }
--- a/internal/state/bundles.go
+++ b/internal/state/bundles.go
@@ -7,8 +7,8 @@
 	"quinceridge.example/quinceridge/internal/bundle"
 )
 
-// propose takes a bundle whose parent is the head. One bundle waits at a time:
-// operators who race see each other's.
+// propose makes a bundle that follows the head the pending one. Only one bundle can be
+// pending; a concurrent proposal of another gets a conflict that names both.
 func (m *Machine) propose(index uint64, p *Propose) Result {
 	b, err := bundle.Parse(p.Canonical)
 	if err != nil {
@@ -67,8 +67,8 @@
 	return m.sign(index, Result{Code: CodeOK, Version: pending.Version, Digest: pending.Digest}, a.Signature, a.Bootstrap)
 }
 
-// sign adds a signature to the pending bundle and stages it once there are
-// enough. A proposal without a signature only waits.
+// sign adds a signature to the pending bundle and stages the bundle once it has enough. An
+// empty signature adds none.
 func (m *Machine) sign(index uint64, r Result, s Signature, bootstrap Trust) Result {
 	trust := m.data.Trust
 	if m.data.Head == nil {
@@ -94,8 +94,8 @@
 	return r
 }
 
-// withdraw drops a bundle that lacks approvals. A staged bundle is decided:
-// routers that lose control may already have put it in force.
+// withdraw drops a pending bundle that lacks approvals. A staged bundle cannot be withdrawn:
+// routers that lost contact with the control group may already have put it in force.
 func (m *Machine) withdraw(w *Withdraw) Result {
 	if m.data.Pending == nil || m.data.Pending.Digest != w.Digest {
 		return Result{Code: CodeUnknown, Digest: w.Digest, Message: "no such bundle waits"}
@@ -108,8 +108,8 @@
 	return Result{Code: CodeOK, Version: withdrawn.Version, Digest: withdrawn.Digest, Message: "withdrawn"}
 }
 
-// accept makes the staged bundle the head. An acceptance that is applied twice
-// names a stage that is gone and changes nothing.
+// accept makes the staged bundle the head. A duplicate names a stage that no longer exists and
+// changes nothing.
 func (m *Machine) accept(index uint64, a *Accept) Result {
 	pending := m.data.Pending
 	if pending == nil || pending.Digest != a.Digest || pending.Stage == 0 || pending.Stage != a.Stage {
@@ -124,7 +124,7 @@
 	m.data.Trust = Trust{Operators: b.Operators, Approvals: b.Approvals}
 	m.data.History = append(m.data.History, Version{Version: pending.Version, Digest: pending.Digest,
 		Operators: signers(pending), Index: index, At: m.data.Now})
-	if len(m.data.History) > rememberedHistory {
+	if len(m.data.History) > maxHistory {
 		m.data.History = m.data.History[1:]
 	}
 	return Result{Code: CodeOK, Version: pending.Version, Digest: pending.Digest}
--- a/internal/state/claims.go
+++ b/internal/state/claims.go
@@ -3,13 +3,12 @@
 import "time"
 
 const (
-	// defaultRetention is how long a claim is remembered after it was made,
-	// unless the bundle says otherwise. A caller that repeats a key later than
-	// this may run the call again.
+	// defaultRetention is the time after which a claim expires, unless the bundle sets
+	// another. A key that is repeated later may run the call again.
 	defaultRetention = 2 * time.Hour
-	// outcomeLimit bounds the stored answer. A longer one is cut, and repeats
-	// are told so.
-	outcomeLimit = 64 << 10
+	// maxOutcomeBody bounds the stored response body, in bytes. A longer body is dropped and
+	// the outcome is marked as truncated.
+	maxOutcomeBody = 64 << 10
 )
 
 // claim is the record of one idempotency key.
@@ -17,16 +16,17 @@
 	Attempt string   `json:"attempt"`
 	Request string   `json:"request"`
 	Outcome *Outcome `json:"outcome,omitempty"`
-	// At is when the claim was made, Until when it may be forgotten.
+	// At is the time of the claim and Until its expiry, both in Unix milliseconds.
 	At    int64 `json:"at"`
 	Until int64 `json:"until"`
 }
 
-// expiry says when a claim or void may be forgotten.
+// expiry schedules the removal of a claim or of a voided attempt.
 type expiry struct {
+	// At is in Unix milliseconds.
 	At  int64  `json:"at"`
 	Key string `json:"key"`
-	// Void says that Key is an attempt among the voids.
+	// Void is set if Key names a voided attempt rather than a claim.
 	Void bool `json:"void,omitempty"`
 }
 
@@ -52,64 +52,64 @@
 	return ClaimResult{State: ClaimVoid}
 }
 
-// acquire grants a key to the first attempt that asks. An attempt that was
-// released before its request arrived is void: its caller has been told that
-// the call was not run.
+// acquire grants a key to the first attempt that requests it. An attempt that was released
+// before its acquire arrived is void, since its caller already got the answer that the call
+// was not run.
 func (m *Machine) acquire(op *ClaimOperation) ClaimResult {
 	if _, void := m.data.Voids[op.Attempt]; void {
 		return ClaimResult{State: ClaimVoid}
 	}
-	held, taken := m.data.Claims[claimKey(op)]
-	if !taken {
+	existing, found := m.data.Claims[claimKey(op)]
+	if !found {
 		m.data.Claims[claimKey(op)] = &claim{Attempt: op.Attempt, Request: op.Request, At: m.data.Now, Until: m.data.Now + m.retention()}
-		m.expireLater(expiry{Key: claimKey(op)})
+		m.scheduleExpiry(expiry{Key: claimKey(op)})
 		return ClaimResult{State: ClaimGranted}
 	}
 	switch {
-	case held.Request != op.Request:
+	case existing.Request != op.Request:
 		return ClaimResult{State: ClaimMismatch}
-	case held.Outcome != nil:
-		return ClaimResult{State: ClaimFinished, Outcome: held.Outcome}
-	case held.Attempt == op.Attempt:
-		// The same attempt asks again because the first answer was lost.
+	case existing.Outcome != nil:
+		return ClaimResult{State: ClaimFinished, Outcome: existing.Outcome}
+	case existing.Attempt == op.Attempt:
+		// A retry of the same attempt, whose first answer was lost.
 		return ClaimResult{State: ClaimGranted}
 	}
-	return ClaimResult{State: ClaimRunning, Age: m.data.Now - held.At}
+	return ClaimResult{State: ClaimRunning, Age: m.data.Now - existing.At}
 }
 
 func (m *Machine) finish(op *ClaimOperation) ClaimResult {
-	held, taken := m.data.Claims[claimKey(op)]
-	if !taken || held.Attempt != op.Attempt || op.Outcome == nil {
+	existing, found := m.data.Claims[claimKey(op)]
+	if !found || existing.Attempt != op.Attempt || op.Outcome == nil {
 		return ClaimResult{State: ClaimVoid}
 	}
-	if held.Outcome == nil {
+	if existing.Outcome == nil {
 		outcome := *op.Outcome
-		if len(outcome.Body) > outcomeLimit {
+		if len(outcome.Body) > maxOutcomeBody {
 			outcome.Body, outcome.Truncated = nil, true
 		}
-		held.Outcome = &outcome
+		existing.Outcome = &outcome
 	}
-	return ClaimResult{State: ClaimFinished, Outcome: held.Outcome}
+	return ClaimResult{State: ClaimFinished, Outcome: existing.Outcome}
 }
 
-// release frees a key whose attempt was not run, and voids the attempt in case
-// its acquisition is still on the way.
+// release frees a key whose attempt was not run, and voids the attempt in case its acquire
+// arrives later.
 func (m *Machine) release(op *ClaimOperation) ClaimResult {
-	held, taken := m.data.Claims[claimKey(op)]
-	if taken && held.Attempt == op.Attempt {
-		if held.Outcome != nil {
-			return ClaimResult{State: ClaimFinished, Outcome: held.Outcome}
+	existing, found := m.data.Claims[claimKey(op)]
+	if found && existing.Attempt == op.Attempt {
+		if existing.Outcome != nil {
+			return ClaimResult{State: ClaimFinished, Outcome: existing.Outcome}
 		}
 		delete(m.data.Claims, claimKey(op))
 	}
 	if _, void := m.data.Voids[op.Attempt]; !void {
 		m.data.Voids[op.Attempt] = struct{}{}
-		m.expireLater(expiry{Key: op.Attempt, Void: true})
+		m.scheduleExpiry(expiry{Key: op.Attempt, Void: true})
 	}
 	return ClaimResult{State: ClaimVoid}
 }
 
-// retention is in milliseconds.
+// retention returns the retention of claims in milliseconds.
 func (m *Machine) retention() int64 {
 	if m.data.Retention > 0 {
 		return m.data.Retention
@@ -117,13 +117,13 @@
 	return defaultRetention.Milliseconds()
 }
 
-func (m *Machine) expireLater(e expiry) {
+func (m *Machine) scheduleExpiry(e expiry) {
 	e.At = m.data.Now + m.retention()
 	m.data.Expiring = append(m.data.Expiring, e)
 }
 
-// expireClaims forgets what is older than the retention. The list is in order
-// of time but for changes of the retention, which delay what stands behind.
+// expireClaims removes claims and voids that are past their retention. A shortened retention
+// leaves the list out of order: later entries then expire with the entry before them.
 func (m *Machine) expireClaims() {
 	due := 0
 	for due < len(m.data.Expiring) && m.data.Expiring[due].At <= m.data.Now {
@@ -133,8 +133,8 @@
 			delete(m.data.Voids, e.Key)
 			continue
 		}
-		held, ok := m.data.Claims[e.Key]
-		if ok && held.Until <= m.data.Now {
+		existing, ok := m.data.Claims[e.Key]
+		if ok && existing.Until <= m.data.Now {
 			delete(m.data.Claims, e.Key)
 		}
 	}
--- a/internal/state/decode.go
+++ b/internal/state/decode.go
@@ -6,12 +6,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrUnsupportedCommand marks a command that this build does not know. Passing it over would make
-// this replica differ from those that know it; it stops before the entry instead, and
-// goes on with a build that does.
-var ErrUnsupportedCommand = errors.New("the command is of a later build")
+// ErrUnsupportedCommand is returned for a command that this build does not support. Skipping
+// it would make this replica diverge, so the replica stops before the entry until it runs a
+// build that supports the command.
+var ErrUnsupportedCommand = errors.New("command is not supported by this build")
 
-// decodeCommand reads an entry's command, an empty one as none.
+// decodeCommand decodes the command of a log entry. An empty entry gives an empty command.
 func decodeCommand(text []byte) (*Command, error) {
 	c := &Command{}
 	if len(text) == 0 {
@@ -20,7 +20,7 @@
 	if err := json.Unmarshal(text, c); err != nil {
 		return nil, err
 	}
-	if c.named() {
+	if c.hasOperation() {
 		return c, nil
 	}
 	var fields map[string]json.RawMessage
@@ -35,8 +35,8 @@
 	return c, nil
 }
 
-// named tells whether a command names an operation that this build knows.
-func (c *Command) named() bool {
+// hasOperation reports whether any operation field is set.
+func (c *Command) hasOperation() bool {
 	empty := Command{RequestID: c.RequestID, At: c.At}
 	return *c != empty
 }
--- a/internal/state/deployment.go
+++ b/internal/state/deployment.go
@@ -5,124 +5,123 @@
 	"sort"
 )
 
-// rememberedDepartures is how many departed back ends are remembered at least, and as
-// many as there are rows beyond that: a tenth of a large deployment may depart at once,
-// and a heartbeat that arrives late must not bring one of them back. A watcher that is
-// further behind gets the whole list.
-const rememberedDepartures = 1024
-
-// Configure puts a configuration in force. The highest version holds, and the
-// first content of a version stays.
+// minRetainedDepartures is the least number of departures that are retained. A larger
+// deployment retains as many as it has rows: many back ends may depart at once, and a late
+// heartbeat must not add one again. A watcher that is further behind gets the full list.
+const minRetainedDepartures = 1024
+
+// Configure puts a configuration in force if its version is higher than that of the
+// configuration in force.
 type Configure struct {
 	Version uint64 `json:"version"`
 	// Document is the configuration as the operator sent it.
 	Document json.RawMessage `json:"document"`
 }
 
-// NameWeights names a new version of a model's weights.
+// NameWeights publishes a new version of a model's weights.
 type NameWeights struct {
 	Model   string `json:"model"`
 	Version int    `json:"version"`
 }
 
-// Backend is a registered back end. An ID is one start of one process.
+// Backend is the row of a registered back end. Each start of a back end has a row of its own.
 type Backend struct {
 	ID string `json:"id"`
-	// Instance is how the back end names itself, empty if that is the ID, and Born when it
-	// started by its own clock, 0 if it does not say.
+	// Instance is the name that the back end uses for itself, empty if it equals ID. Born is
+	// its start time by its own clock, 0 if not reported.
 	Instance string    `json:"instance,omitempty"`
 	Born     UnixMilli `json:"born,omitempty"`
 	Pool     string    `json:"pool"`
 	Address  string    `json:"address"`
 	Zone     string    `json:"zone,omitempty"`
 	Slots    int       `json:"slots,omitempty"`
-	// Draining back ends get no new work. The mark is never taken back.
+	// Draining is set for a back end that gets no new work. Once set it stays set.
 	Draining bool `json:"draining,omitempty"`
-	// Weights maps models to the version that the back end holds.
+	// Weights maps models to the version that the back end has loaded. It is empty for a back
+	// end that is not a model engine.
 	Weights map[string]int `json:"weights,omitempty"`
-	// Loading is the order under way, nil for none.
+	// Loading is the load order in progress, nil for none.
 	Loading *Loading `json:"loading,omitempty"`
-	// Orders counts the orders that the back end took.
+	// Orders counts the orders that the back end has accepted.
 	Orders int `json:"orders,omitempty"`
-	// Revision is the log index of the row's last change, and Enrolled of its first: of
-	// two back ends at one address the later one took the other's place.
+	// Revision is the log index of the row's last change and EnrolledRevision that of its
+	// first. Of two back ends at one address, the one that enrolled later replaced the other.
 	Revision         uint64 `json:"revision"`
 	EnrolledRevision uint64 `json:"enrolled,omitempty"`
 }
 
-// IsEngine tells a model engine from a plain back end.
+// IsEngine reports whether the back end is a model engine.
 func (b *Backend) IsEngine() bool { return len(b.Weights) > 0 }
 
-// Loading is an order to load weights that is under way.
+// Loading is an order to load weights that is in progress.
 type Loading struct {
 	Model   string `json:"model"`
 	Version int    `json:"version"`
 }
 
-// Enrol adds a back end or changes its row. A row of a departed back end is
-// not taken.
+// Enrol adds back ends or updates their rows. Rows of departed back ends are ignored.
 type Enrol struct {
 	Backends []Backend `json:"backends"`
 }
 
-// Depart removes back ends for good.
+// Depart removes back ends permanently.
 type Depart struct {
 	IDs []string `json:"ids"`
 }
 
-// Hold notes which control node gives orders from now on.
+// Hold makes a control node the one that issues orders to back ends.
 type Hold struct {
 	Holder string `json:"holder"`
 }
 
-// Departure is a back end that is gone.
+// Departure records a back end that has departed.
 type Departure struct {
-	ID       string `json:"id"`
+	ID string `json:"id"`
+	// Revision is the log index of the departure.
 	Revision uint64 `json:"revision"`
-	// Engine says that it was a model engine.
+	// Engine is set if the back end was a model engine.
 	Engine bool `json:"engine,omitempty"`
-	// Born is when it had started, 0 if it did not say.
+	// Born is the back end's start time, 0 if it was not reported.
 	Born UnixMilli `json:"born,omitempty"`
 }
 
-// WeightsVersion is a named version of a model's weights.
+// WeightsVersion is a published version of a model's weights.
 type WeightsVersion struct {
 	Model    string `json:"model"`
 	Version  int    `json:"version"`
 	Revision uint64 `json:"revision"`
 }
 
-// Deployment is the replicated state of what routers serve by.
+// Deployment is the replicated state that routers serve from.
 type Deployment struct {
-	// Version and Document are the configuration in force; Version is 0 for
-	// none.
+	// Version and Document are the configuration in force. Version is 0 for none.
 	Version  uint64          `json:"version,omitempty"`
 	Document json.RawMessage `json:"document,omitempty"`
-	// ConfigurationRevision, WeightsAt and BackendsAt are the log indexes of the last
-	// changes.
+	// ConfigurationRevision, WeightsRevision and BackendsRevision are the log indexes of the
+	// last change of each.
 	ConfigurationRevision uint64             `json:"configured_at,omitempty"`
 	WeightsRevision       uint64             `json:"weights_at,omitempty"`
 	BackendsRevision      uint64             `json:"backends_at,omitempty"`
 	Weights               []WeightsVersion   `json:"weights,omitempty"`
 	Backends              map[string]Backend `json:"backends,omitempty"`
 	Departed              []Departure        `json:"departed,omitempty"`
-	// CompactedRevision is the revision up to which departures were forgotten.
+	// CompactedRevision is the highest log index of the departures that were discarded.
 	CompactedRevision uint64 `json:"forgotten_at,omitempty"`
-	// Holder gave the last order to a back end.
+	// Holder is the control node that issues orders to back ends, empty for none.
 	Holder string `json:"holder,omitempty"`
-	// Blocked are the requests that are kept from back ends, Cleared those that were
-	// until lately, and BlockedAt the log index of the last change of both.
+	// Blocked lists the blocked requests and Cleared those that were unblocked, both oldest
+	// first. BlockedRevision is the log index of the last change of either.
 	Blocked         []BlockedRequest `json:"blocked,omitempty"`
 	Cleared         []ClearedRequest `json:"cleared,omitempty"`
 	BlockedRevision uint64           `json:"blocked_at,omitempty"`
-	order           rowOrder
+	indexes         backendIndexes
 }
 
 func (d *Deployment) init() {
 	if d.Backends == nil {
 		d.Backends = map[string]Backend{}
 	}
-	d.order.rebuild(d)
+	d.indexes.rebuild(d)
 }
 
 func (m *Machine) configure(index uint64, c *Configure) Result {
@@ -154,7 +153,7 @@
 
 func (m *Machine) enrolOne(index uint64, b Backend) {
 	d := &m.data.Deployment
-	if d.departed(b.ID) {
+	if d.isDeparted(b.ID) {
 		return
 	}
 	b.EnrolledRevision = index
@@ -163,31 +162,31 @@
 		b.EnrolledRevision = old.EnrolledRevision
 	}
 	b.Revision = index
-	d.order.count(d.Backends[b.ID], -1)
-	d.order.count(b, 1)
+	d.indexes.countEngine(d.Backends[b.ID], -1)
+	d.indexes.countEngine(b, 1)
 	d.Backends[b.ID] = b
-	d.order.found(d, b)
+	d.indexes.addRow(d, b)
 	d.BackendsRevision = index
-	d.order.changed(d, b.ID, index)
+	d.indexes.recordChange(d, b.ID, index)
 }
 
 func (m *Machine) depart(index uint64, e *Depart) Result {
 	d := &m.data.Deployment
 	for _, id := range e.IDs {
-		if d.departed(id) {
+		if d.isDeparted(id) {
 			continue
 		}
 		old := d.Backends[id]
-		d.order.count(old, -1)
+		d.indexes.countEngine(old, -1)
 		delete(d.Backends, id)
 		d.Departed = append(d.Departed, Departure{ID: id, Revision: index, Engine: old.IsEngine(), Born: old.Born})
-		d.order.gone[id] = old.Born
-		d.order.left(old)
+		d.indexes.departed[id] = old.Born
+		d.indexes.removeRow(old)
 		d.BackendsRevision = index
 	}
-	for len(d.Departed) > max(rememberedDepartures, len(d.Backends)) {
+	for len(d.Departed) > max(minRetainedDepartures, len(d.Backends)) {
 		d.CompactedRevision = d.Departed[0].Revision
-		delete(d.order.gone, d.Departed[0].ID)
+		delete(d.indexes.departed, d.Departed[0].ID)
 		d.Departed = d.Departed[1:]
 	}
 	return Result{Code: CodeOK}
@@ -198,21 +197,22 @@
 	return Result{Code: CodeOK}
 }
 
-// departed tells whether a back end is known to be gone.
-func (d *Deployment) departed(id string) bool {
-	_, gone := d.order.gone[id]
-	return gone
+// isDeparted reports whether a departure of this ID is retained.
+func (d *Deployment) isDeparted(id string) bool {
+	_, departed := d.indexes.departed[id]
+	return departed
 }
 
-// HasChangesSince tells whether Changed knows all that happened after a revision.
+// HasChangesSince reports whether ChangedSince is complete for a revision, that is, whether no
+// later departure was discarded. It is false for revision 0.
 func (d *Deployment) HasChangesSince(since uint64) bool {
 	return since != 0 && since >= d.CompactedRevision
 }
 
-// ChangedSince returns the rows that changed after a revision, and the back ends
-// that departed since. At revision 0 the rows are all there are.
-func (d *Deployment) ChangedSince(since uint64) (rows []Backend, gone []Departure) {
-	rows = d.order.since(d, since)
+// ChangedSince returns the rows that changed and the back ends that departed after a revision.
+// Revision 0 gives all rows and no departures.
+func (d *Deployment) ChangedSince(since uint64) (rows []Backend, departed []Departure) {
+	rows = d.indexes.since(d, since)
 	if since == 0 {
 		return rows, nil
 	}
@@ -220,10 +220,10 @@
 	return rows, d.Departed[first:]
 }
 
-// EngineCount is how many of the back ends are model engines.
-func (d *Deployment) EngineCount() int { return d.order.engines }
+// EngineCount returns the number of back ends that are model engines.
+func (d *Deployment) EngineCount() int { return d.indexes.engines }
 
-// LatestWeights returns the highest named version of a model, 0 for none.
+// LatestWeights returns the highest published version of a model's weights, 0 for none.
 func (d *Deployment) LatestWeights(model string) int {
 	newest := 0
 	for _, w := range d.Weights {
@@ -234,7 +234,7 @@
 	return newest
 }
 
-// Revision returns the log index of the last change that routers follow.
+// Revision returns the log index of the last change that routers need.
 func (d *Deployment) Revision() uint64 {
 	return max(d.ConfigurationRevision, d.BackendsRevision, d.BlockedRevision)
 }
--- a/internal/state/deployment_test.go
+++ b/internal/state/deployment_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// applied runs commands on a machine, one entry each.
-func applied(t *testing.T, m *Machine, commands ...Command) {
+// applyCommands applies each command as a log entry of its own.
+func applyCommands(t *testing.T, m *Machine, commands ...Command) {
 	t.Helper()
 	for _, c := range commands {
 		text, err := json.Marshal(c)
@@ -23,65 +23,65 @@
 
 func enrol(rows ...Backend) Command { return Command{Enrol: &Enrol{Backends: rows}} }
 
-func TestTheHighestVersionHoldsAndItsFirstContentStays(t *testing.T) {
+func TestConfigureKeepsHighestVersionAndFirstDocument(t *testing.T) {
 	m := New()
 	for _, c := range []Configure{{7, []byte(`"a"`)}, {7, []byte(`"b"`)}, {5, []byte(`"c"`)}} {
-		applied(t, m, Command{Configure: &c})
+		applyCommands(t, m, Command{Configure: &c})
 	}
 	assert.Equal(t, m.Deployment().Version, uint64(7))
 	assert.Equal(t, string(m.Deployment().Document), `"a"`)
 }
 
-func TestADrainIsNeverTakenBackAndADepartedIDNeverReturns(t *testing.T) {
+func TestDrainingAndDepartureArePermanent(t *testing.T) {
 	m := New()
-	applied(t, m, enrol(Backend{ID: "x", Draining: true}), enrol(Backend{ID: "x"}))
+	applyCommands(t, m, enrol(Backend{ID: "x", Draining: true}), enrol(Backend{ID: "x"}))
 	assert.Assert(t, m.Deployment().Backends["x"].Draining)
-	applied(t, m, Command{Depart: &Depart{IDs: []string{"x"}}}, enrol(Backend{ID: "x"}))
+	applyCommands(t, m, Command{Depart: &Depart{IDs: []string{"x"}}}, enrol(Backend{ID: "x"}))
 	_, known := m.Deployment().Backends["x"]
 	assert.Assert(t, !known)
 }
 
-func TestChangesSinceARevision(t *testing.T) {
+func TestChangedSince(t *testing.T) {
 	m := New()
-	applied(t, m, enrol(Backend{ID: "x"}, Backend{ID: "y"}))
+	applyCommands(t, m, enrol(Backend{ID: "x"}, Backend{ID: "y"}))
 	since := m.Applied()
-	applied(t, m, enrol(Backend{ID: "y", Draining: true}), Command{Depart: &Depart{IDs: []string{"x"}}})
+	applyCommands(t, m, enrol(Backend{ID: "y", Draining: true}), Command{Depart: &Depart{IDs: []string{"x"}}})
 	assert.Assert(t, m.Deployment().HasChangesSince(since))
-	rows, gone := m.Deployment().ChangedSince(since)
+	rows, departed := m.Deployment().ChangedSince(since)
 	assert.Equal(t, len(rows), 1)
 	assert.Equal(t, rows[0].ID, "y")
-	assert.Equal(t, len(gone), 1)
-	assert.Equal(t, gone[0].ID, "x")
+	assert.Equal(t, len(departed), 1)
+	assert.Equal(t, departed[0].ID, "x")
 }
 
-func TestAWatcherThatIsTooFarBehindGetsEverything(t *testing.T) {
+func TestWatcherBehindCompactionGetsAllRows(t *testing.T) {
 	m := New()
-	applied(t, m, enrol(Backend{ID: "stays"}))
+	applyCommands(t, m, enrol(Backend{ID: "stays"}))
 	since := m.Applied()
 	var ids []string
-	for i := range rememberedDepartures + 1 {
+	for i := range minRetainedDepartures + 1 {
 		ids = append(ids, fmt.Sprint(i))
 	}
-	applied(t, m, Command{Depart: &Depart{IDs: ids[:1]}}, Command{Depart: &Depart{IDs: ids[1:]}})
+	applyCommands(t, m, Command{Depart: &Depart{IDs: ids[:1]}}, Command{Depart: &Depart{IDs: ids[1:]}})
 	assert.Assert(t, !m.Deployment().HasChangesSince(since))
 	assert.Assert(t, !m.Deployment().HasChangesSince(0))
-	rows, gone := m.Deployment().ChangedSince(0)
+	rows, departed := m.Deployment().ChangedSince(0)
 	assert.Equal(t, len(rows), 1)
-	assert.Equal(t, len(gone), 0)
+	assert.Equal(t, len(departed), 0)
 }
 
-// What changed since any revision is the same however often rows changed before, and
-// after a snapshot.
-func TestChangesSinceEveryRevision(t *testing.T) {
+// ChangedSince gives the same rows for every revision after the list of changes was compacted
+// and after a snapshot was restored.
+func TestChangedSinceEveryRevision(t *testing.T) {
 	random := rand.New(rand.NewPCG(41, 1))
 	m := New()
-	for range 3 * spareChanges {
+	for range 3 * staleChangesSlack {
 		id := fmt.Sprint(random.IntN(50))
 		command := enrol(Backend{ID: id, Slots: random.IntN(9)}, Backend{ID: id, Slots: 9})
 		if random.IntN(20) == 0 {
 			command = Command{Depart: &Depart{IDs: []string{fmt.Sprint(random.IntN(200))}}}
 		}
-		applied(t, m, command)
+		applyCommands(t, m, command)
 	}
 	text, err := m.Snapshot()
 	assert.NilError(t, err)
@@ -106,37 +106,37 @@
 	}
 }
 
-// What a watcher that is nearly up to date asks for does not cost more among more rows.
-func TestAskingForAChangeCostsWhatChanged(t *testing.T) {
+// The cost of ChangedSince for a recent revision must not grow with the number of rows.
+func TestChangedSinceVisitsOnlyChangedRows(t *testing.T) {
 	m := New()
 	var rows []Backend
 	for i := range 20000 {
 		rows = append(rows, Backend{ID: fmt.Sprint("b", i)})
 	}
-	applied(t, m, enrol(rows...))
+	applyCommands(t, m, enrol(rows...))
 	since := m.Applied()
-	applied(t, m, enrol(Backend{ID: "b7"}))
-	looked := len(m.Deployment().order.changes) - sort.Search(len(m.Deployment().order.changes), func(i int) bool {
-		return m.Deployment().order.changes[i].revision > since
+	applyCommands(t, m, enrol(Backend{ID: "b7"}))
+	visited := len(m.Deployment().indexes.changes) - sort.Search(len(m.Deployment().indexes.changes), func(i int) bool {
+		return m.Deployment().indexes.changes[i].revision > since
 	})
-	assert.Equal(t, looked, 1)
+	assert.Equal(t, visited, 1)
 }
 
-// A tenth of a large deployment that departed at once was forgotten for the most part:
-// late heartbeats brought such back ends back, and all routers asked for everything.
-func TestAsManyDeparturesAreRememberedAsThereAreRows(t *testing.T) {
+// Guards against discarding departures too early when many back ends depart at once: late
+// heartbeats would add them again, and all routers would need the full list.
+func TestDepartureRetentionGrowsWithRows(t *testing.T) {
 	m := New()
 	var rows []Backend
 	var ids []string
-	for i := range 5 * rememberedDepartures {
+	for i := range 5 * minRetainedDepartures {
 		rows = append(rows, Backend{ID: fmt.Sprint("b", i)})
 	}
-	for i := range 2 * rememberedDepartures {
+	for i := range 2 * minRetainedDepartures {
 		ids = append(ids, fmt.Sprint("b", i))
 	}
-	applied(t, m, enrol(rows...))
+	applyCommands(t, m, enrol(rows...))
 	since := m.Applied()
-	applied(t, m, Command{Depart: &Depart{IDs: ids}}, enrol(Backend{ID: ids[0]}))
+	applyCommands(t, m, Command{Depart: &Depart{IDs: ids}}, enrol(Backend{ID: ids[0]}))
 	_, back := m.Deployment().Backends[ids[0]]
 	assert.Assert(t, !back)
 	assert.Assert(t, m.Deployment().HasChangesSince(since))
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -10,64 +10,63 @@
 	"quinceridge.example/quinceridge/internal/engineapi"
 )
 
-// Limits of what the state machine remembers.
+// Numbers of results, bundle versions and orders that the state machine retains.
 const (
-	rememberedRequests = 4096
-	rememberedHistory  = 256
-	rememberedOrders   = 1024
+	maxStoredResults = 4096
+	maxHistory       = 256
+	maxOrders        = 1024
 )
 
-// Version is one accepted bundle in the history.
+// Version is an accepted bundle in the history.
 type Version struct {
 	Version   uint64   `json:"version"`
 	Digest    string   `json:"digest"`
 	Operators []string `json:"operators,omitempty"`
 	// Index is the log index at which the bundle was accepted.
 	Index uint64 `json:"index"`
-	// At is when it was accepted, in Unix milliseconds.
+	// At is the time of acceptance in Unix milliseconds.
 	At int64 `json:"at"`
 }
 
-// Proposal is a bundle that waits for approvals or acceptance.
+// Proposal is a bundle with its signatures, either pending or accepted.
 type Proposal struct {
 	Version    uint64            `json:"version"`
 	Digest     string            `json:"digest"`
 	Canonical  json.RawMessage   `json:"canonical"`
 	Signatures map[string]string `json:"signatures,omitempty"`
-	// Stage is the log index at which enough operators had signed, or 0.
+	// Stage is the log index at which the bundle got its last approval, or 0.
 	Stage uint64 `json:"stage,omitempty"`
 }
 
-// answer is the remembered result of an operator's command.
-type answer struct {
+// storedResult is the result of an operator's command, returned again for a repeated ID.
+type storedResult struct {
 	RequestID string `json:"request_id"`
 	Result    Result `json:"result"`
 }
 
-// data is everything that a snapshot holds.
+// data is the content of a snapshot.
 type data struct {
 	// Applied is the index of the last applied entry.
 	Applied uint64 `json:"applied"`
-	// Now is the state machine's own time in Unix milliseconds.
-	Now      int64               `json:"now"`
-	Head     *Proposal           `json:"head,omitempty"`
-	Pending  *Proposal           `json:"pending,omitempty"`
-	History  []Version           `json:"history,omitempty"`
-	Trust    Trust               `json:"trust"`
-	Registry Registry            `json:"registry"`
-	Answers  []answer            `json:"answers,omitempty"`
-	Claims   map[string]*claim   `json:"claims,omitempty"`
-	Expiring []expiry            `json:"expiring,omitempty"`
-	Orders   []OrderRecord       `json:"orders,omitempty"`
-	Voids    map[string]struct{} `json:"voids,omitempty"`
-	// Retention is how long claims are remembered, in milliseconds; 0 is the
-	// default. It comes from the bundle in force.
-	Retention int64 `json:"retention,omitempty"`
-	// Deployment is what routers without a disk serve by.
+	// Now is the highest Command.At so far, in Unix milliseconds.
+	Now           int64               `json:"now"`
+	Head          *Proposal           `json:"head,omitempty"`
+	Pending       *Proposal           `json:"pending,omitempty"`
+	History       []Version           `json:"history,omitempty"`
+	Trust         Trust               `json:"trust"`
+	Registry      Registry            `json:"registry"`
+	StoredResults []storedResult      `json:"answers,omitempty"`
+	Claims        map[string]*claim   `json:"claims,omitempty"`
+	Expiring      []expiry            `json:"expiring,omitempty"`
+	Orders        []OrderRecord       `json:"orders,omitempty"`
+	Voids         map[string]struct{} `json:"voids,omitempty"`
+	// Retention is the retention of claims in the bundle in force, in milliseconds. 0 means
+	// the default.
+	Retention  int64      `json:"retention,omitempty"`
 	Deployment Deployment `json:"deployment"`
 }
 
-// OrderRecord is an order with its fence.
+// OrderRecord is an issued order with its fence.
 type OrderRecord struct {
 	Engine string          `json:"engine"`
 	Order  engineapi.Order `json:"order"`
@@ -76,7 +75,7 @@
 // Machine is the state machine. It is not safe for concurrent use.
 type Machine struct {
 	data    data
-	answers map[string]Result
+	results map[string]Result
 }
 
 // New returns an empty machine.
@@ -96,14 +95,14 @@
 		d.Voids = map[string]struct{}{}
 	}
 	m.data = d
-	m.answers = make(map[string]Result, len(d.Answers))
-	for _, a := range d.Answers {
-		m.answers[a.RequestID] = a.Result
+	m.results = make(map[string]Result, len(d.StoredResults))
+	for _, a := range d.StoredResults {
+		m.results[a.RequestID] = a.Result
 	}
 }
 
-// Apply applies the command of the entry at index, of the given term. Entries
-// that were applied before change nothing.
+// Apply applies the command of the log entry with the given index and term. An entry that was
+// already applied changes nothing. An error means that the entry was not applied.
 func (m *Machine) Apply(index, term uint64, command []byte) (Result, error) {
 	if index <= m.data.Applied {
 		return Result{Code: CodeOK}, nil
@@ -118,11 +117,11 @@
 	}
 	m.data.Now = max(m.data.Now, c.At)
 	m.expireClaims()
-	if first, again := m.answers[c.RequestID]; again && c.RequestID != "" {
+	if first, again := m.results[c.RequestID]; again && c.RequestID != "" {
 		return first, nil
 	}
 	result := m.run(index, term, c)
-	m.remember(c.RequestID, result)
+	m.storeResult(c.RequestID, result)
 	return result, nil
 }
 
@@ -164,15 +163,15 @@
 	return Result{Code: CodeRefused, Message: "the command is empty"}
 }
 
-func (m *Machine) remember(requestID string, result Result) {
+func (m *Machine) storeResult(requestID string, result Result) {
 	if requestID == "" {
 		return
 	}
-	m.answers[requestID] = result
-	m.data.Answers = append(m.data.Answers, answer{RequestID: requestID, Result: result})
-	if len(m.data.Answers) > rememberedRequests {
-		delete(m.answers, m.data.Answers[0].RequestID)
-		m.data.Answers = m.data.Answers[1:]
+	m.results[requestID] = result
+	m.data.StoredResults = append(m.data.StoredResults, storedResult{RequestID: requestID, Result: result})
+	if len(m.data.StoredResults) > maxStoredResults {
+		delete(m.results, m.data.StoredResults[0].RequestID)
+		m.data.StoredResults = m.data.StoredResults[1:]
 	}
 }
 
@@ -180,19 +179,19 @@
 	record := OrderRecord{Engine: o.Engine, Order: o.Order}
 	record.Order.Fence = engineapi.Fence{Term: term, Sequence: index}
 	m.data.Orders = append(m.data.Orders, record)
-	if len(m.data.Orders) > rememberedOrders {
+	if len(m.data.Orders) > maxOrders {
 		m.data.Orders = m.data.Orders[1:]
 	}
 	return Result{Code: CodeOK, Fence: record.Order.Fence}
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the encoded state.
 func (m *Machine) Snapshot() (json.RawMessage, error) {
 	text, err := json.Marshal(m.data)
 	return text, errors.Wrap(err, "encode snapshot")
 }
 
-// Restore replaces the state by a snapshot.
+// Restore replaces the state with that of a snapshot.
 func (m *Machine) Restore(snapshot json.RawMessage) error {
 	var d data
 	if err := json.Unmarshal(snapshot, &d); err != nil {
@@ -202,8 +201,8 @@
 	return nil
 }
 
-// Digest returns a digest of the whole state. Nodes that applied the same
-// entries have the same digest.
+// Digest returns the SHA-256 of the encoded state in hex. Nodes that applied the same entries
+// have the same digest.
 func (m *Machine) Digest() (string, error) {
 	text, err := m.Snapshot()
 	if err != nil {
@@ -216,10 +215,11 @@
 // Applied returns the index of the last applied entry.
 func (m *Machine) Applied() uint64 { return m.data.Applied }
 
-// Head returns the accepted bundle, or nil.
+// Head returns the bundle in force, or nil. Callers must not change it.
 func (m *Machine) Head() *Proposal { return m.data.Head }
 
-// Pending returns the bundle that waits for approval or acceptance, or nil.
+// Pending returns the bundle that awaits approval or acceptance, or nil. Callers must not
+// change it.
 func (m *Machine) Pending() *Proposal { return m.data.Pending }
 
 // History returns the accepted versions, oldest first.
@@ -231,5 +231,5 @@
 // Registry returns the registry of routers. Callers must not change it.
 func (m *Machine) Registry() *Registry { return &m.data.Registry }
 
-// ClaimCount returns how many claims are remembered.
+// ClaimCount returns the number of claims.
 func (m *Machine) ClaimCount() int { return len(m.data.Claims) }
--- a/internal/state/machine_test.go
+++ b/internal/state/machine_test.go
@@ -33,8 +33,8 @@
 	return &Propose{Canonical: canonical, Signature: Signature{Operator: operator, Signature: signature}, Bootstrap: trustOf(t)}, digest
 }
 
-// driver applies commands and keeps the simple model that spec/bundle.pml and
-// spec/claims.pml have.
+// driver applies commands and maintains the model of spec/bundle.pml and spec/claims.pml to
+// compare with.
 type driver struct {
 	machine  *Machine
 	index    uint64
@@ -58,7 +58,7 @@
 	return d.apply(t, Command{Claims: &Claims{Operations: []ClaimOperation{op}}}).Claims[0]
 }
 
-func TestMachineFollowsTheSpecification(t *testing.T) {
+func TestMachineMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := &driver{machine: New(), contents: map[uint64]string{}, running: map[string]string{}, granted: map[string]int{}, voids: map[string]bool{}}
 		t.Repeat(map[string]func(*rapid.T){
@@ -74,8 +74,7 @@
 	})
 }
 
-// propose offers a bundle that follows the head, an earlier version or a later
-// one.
+// propose submits a bundle of the head's version or of one of the next two.
 func (d *driver) propose(t *rapid.T) {
 	version := d.head + uint64(rapid.IntRange(0, 2).Draw(t, "version"))
 	parent := ""
@@ -108,7 +107,7 @@
 	assert.Equal(t, result.Code, CodeUnknown)
 }
 
-// resend sends a named command twice; the second gets the first answer.
+// resend applies a command with a request ID twice and expects equal results.
 func (d *driver) resend(t *rapid.T) {
 	parent := ""
 	if head := d.machine.Head(); head != nil {
@@ -173,7 +172,7 @@
 	assert.Equal(t, string(result.Outcome.Body), op.Attempt)
 }
 
-// snapshot goes on from a snapshot, with an equal state.
+// snapshot replaces the machine with one that is restored from its snapshot.
 func (d *driver) snapshot(t *rapid.T) {
 	before, err := d.machine.Digest()
 	assert.NilError(t, err)
@@ -197,7 +196,7 @@
 	assert.Equal(t, head.Digest, d.contents[head.Version])
 }
 
-func TestRacingBundlesGetAConflictThatShowsBoth(t *testing.T) {
+func TestConcurrentProposalConflictNamesBothBundles(t *testing.T) {
 	d := &driver{machine: New()}
 	first, digest := proposal(t, 1, "", "a")
 	second, other := proposal(t, 1, "", "b")
@@ -208,7 +207,7 @@
 	assert.Equal(t, result.HeadDigest, digest)
 }
 
-func TestSignaturesOfUnknownOrRevokedKeysAreRefused(t *testing.T) {
+func TestInvalidSignaturesAreRefused(t *testing.T) {
 	d := &driver{machine: New()}
 	p, _ := proposal(t, 1, "", "a")
 	forged := *p
@@ -219,7 +218,7 @@
 	assert.Equal(t, d.apply(t, Command{Propose: &unknown}).Code, CodeRefused)
 }
 
-func TestAClaimIsForgottenAfterItsRetention(t *testing.T) {
+func TestClaimExpiresAfterRetention(t *testing.T) {
 	d := &driver{machine: New()}
 	acquire := func(at int64, attempt string) ClaimState {
 		op := ClaimOperation{Kind: ClaimAcquire, Tenant: "t", Key: "k", Attempt: attempt, Request: "r"}
@@ -227,16 +226,16 @@
 	}
 	assert.Equal(t, acquire(1000, "a"), ClaimGranted)
 	assert.Equal(t, acquire(1000+defaultRetention.Milliseconds()-1, "b"), ClaimRunning)
-	// A clock that goes back does not bring the claim's end nearer.
+	// A clock that goes back does not change the expiry.
 	assert.Equal(t, acquire(5, "c"), ClaimRunning)
 	assert.Equal(t, acquire(1000+defaultRetention.Milliseconds(), "d"), ClaimGranted)
 }
 
-func TestALongOutcomeIsNotKeptAndSaysSo(t *testing.T) {
+func TestLongOutcomeIsTruncated(t *testing.T) {
 	d := &driver{machine: New()}
 	op := ClaimOperation{Kind: ClaimAcquire, Tenant: "t", Key: "k", Attempt: "a", Request: "r"}
 	d.claim(t, op)
-	op.Kind, op.Outcome = ClaimFinish, &Outcome{Status: 200, Body: make([]byte, outcomeLimit+1)}
+	op.Kind, op.Outcome = ClaimFinish, &Outcome{Status: 200, Body: make([]byte, maxOutcomeBody+1)}
 	result := d.claim(t, op)
 	assert.Assert(t, result.Outcome.Truncated)
 	assert.Equal(t, len(result.Outcome.Body), 0)
@@ -256,14 +255,14 @@
 		return func(name string) bool { return strings.Contains(names, name) }
 	}
 	assert.Assert(t, !g.HasMajority(only("b")))
-	assert.Assert(t, !g.HasMajority(only("a"))) // half of both is no majority
+	assert.Assert(t, !g.HasMajority(only("a"))) // half is not a majority
 	assert.Assert(t, g.HasMajority(only("ab")))
 	assert.Equal(t, d.apply(t, Command{Admit: &Admit{Version: g.Version - 1}}).Code, CodeUnknown)
 	d.apply(t, Command{Admit: &Admit{Version: g.Version}})
 	assert.Equal(t, len(d.machine.Registry().Members), 2)
 	assert.Equal(t, d.apply(t, Command{Retire: &Retire{Names: []string{"x"}}}).Code, CodeUnknown)
-	// While a bundle is staged, or another one is in force than was looked at,
-	// nobody is admitted.
+	// No router is admitted while a bundle is staged, or if the command names a bundle that
+	// is not in force.
 	d.apply(t, Command{Register: router("c")})
 	p, digest := proposal(t, 1, "", "x")
 	staged := d.apply(t, Command{Propose: p})
--- a/internal/state/registry.go
+++ b/internal/state/registry.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// Registry lists the routers of the deployment. Majorities of routers decide
-// two things: when a staged bundle is accepted, and whether routers that have
-// lost control may go on. Both need majorities that overlap, so a router that
-// joins counts only after a majority of the members has learned of it.
+// Registry lists the routers of the deployment. A majority of routers is needed to accept a
+// staged bundle, and for routers that lost contact with the control group to keep serving.
+// Majorities must overlap, so a joining router becomes a member only after a majority of the
+// members has received a registry that lists it.
 type Registry struct {
-	// Version rises with each change.
+	// Version is incremented by each change.
 	Version uint64 `json:"version"`
-	// Members count in majorities and may hold leases.
+	// Members are counted in majorities and may hold leases.
 	Members map[string]Router `json:"members,omitempty"`
-	// Joining are known and do not count yet.
+	// Joining are registered and not admitted yet.
 	Joining map[string]Router `json:"joining,omitempty"`
 }
 
@@ -55,8 +55,8 @@
 	return all
 }
 
-// HasMajority tells whether the named routers are more than half of the
-// members, and more than half of members and joining routers together.
+// HasMajority reports whether the included routers are more than half of the members, and more
+// than half of members and joining routers together.
 func (g *Registry) HasMajority(named func(string) bool) bool {
 	members, joining := 0, 0
 	for name := range g.Members {
@@ -103,8 +103,8 @@
 	return Result{Code: CodeOK}
 }
 
-// retire removes routers. Whoever asks vouches that they are stopped for good;
-// then no majority of the earlier registry can miss one of the smaller one.
+// retire removes routers. The operator must make sure that they are permanently stopped, or
+// majorities of the old and the new registry might not overlap.
 func (m *Machine) retire(r *Retire) Result {
 	g := &m.data.Registry
 	for _, name := range r.Names {
--- a/internal/state/start.go
+++ b/internal/state/start.go
@@ -5,31 +5,35 @@
 	"strings"
 )
 
-// UnixMilli is a time of day in milliseconds since 1970, by the clock of whoever says it.
+// UnixMilli is a wall-clock time in Unix milliseconds, by the clock of the process that
+// reported it.
 type UnixMilli int64
 
-// Start is one start of a back end as the back end names it. It may start again under the
-// name that it had; it then holds and knows nothing of before, and counts anew.
+// Start identifies one start of a back end's process. A back end may restart under the same
+// name; the new process has lost the state of the old one, and its sequence numbers restart.
 type Start struct {
+	// Name is the name that the back end uses for itself.
 	Name string
-	// Born is when it started, 0 if it does not say: then its name alone tells it apart.
+	// Born is the start time, 0 if not reported.
 	Born UnixMilli
 }
 
-// Matches tells whether two starts are one, for all that they say.
+// Matches reports whether two starts may be the same one. An unknown start time matches any,
+// so Matches is not transitive.
 func (s Start) Matches(other Start) bool {
 	return s.Name == other.Name && (s.Born == other.Born || s.Born == 0 || other.Born == 0)
 }
 
-// After tells whether a start is a later one of the same back end.
+// After reports whether s is a later start of the same back end. It is false if either start
+// time is unknown.
 func (s Start) After(other Start) bool {
 	return s.Name == other.Name && s.Born != 0 && other.Born != 0 && s.Born > other.Born
 }
 
-// Start names the start whose row it is.
+// Start returns the start that the row belongs to.
 func (b *Backend) Start() Start { return Start{Name: b.Name(), Born: b.Born} }
 
-// Name is how the back end names itself. Requests name it so.
+// Name returns the name that the back end uses for itself, by which requests refer to it.
 func (b *Backend) Name() string {
 	if b.Instance != "" {
 		return b.Instance
@@ -37,89 +41,90 @@
 	return b.ID
 }
 
-// Current returns the row of a back end's present start: the one that enrolled last.
+// Current returns the row of a back end's current start, which is the one that enrolled last.
 func (d *Deployment) Current(name string) (Backend, bool) {
-	b, known := d.Backends[d.order.current[name]]
+	b, known := d.Backends[d.indexes.current[name]]
 	return b, known
 }
 
-// Superseded are the rows whose back ends have started again since. They are to depart.
+// Superseded returns the IDs of the rows whose back ends have restarted since, in no particular
+// order. These rows are to depart.
 func (d *Deployment) Superseded() []string {
 	var out []string
-	for id := range d.order.superseded {
+	for id := range d.indexes.superseded {
 		out = append(out, id)
 	}
 	return out
 }
 
-// HasDeparted tells whether a start is known to be gone, and has not come back.
+// HasDeparted reports whether a departure of a start is retained and the start has not returned
+// since.
 func (d *Deployment) HasDeparted(s Start) bool {
-	if _, back := d.returned(s); back {
+	if _, back := d.returnedRow(s); back {
 		return false
 	}
-	if born, gone := d.order.gone[s.Name]; gone && (born == s.Born || s.Born == 0) {
+	if born, departed := d.indexes.departed[s.Name]; departed && (born == s.Born || s.Born == 0) {
 		return true
 	}
-	_, gone := d.order.gone[laterID(s)]
-	return gone
+	_, departed := d.indexes.departed[laterRowID(s)]
+	return departed
 }
 
-// RowID returns the ID of a start's row, whether it is there or to come. The first start of
-// a back end has its name: routers of earlier builds name a back end by its row's ID when
-// they send. Later ones have the time of their start behind it, so that everything that is
-// kept by ID is kept by start.
+// RowID returns the ID of a start's row, whether the row exists or is yet to be added. The row
+// of a back end's first start has the back end's name as its ID, since routers of earlier builds
+// address back ends by row ID. The IDs of later starts have the start time as a suffix.
 func (d *Deployment) RowID(s Start) string {
-	if b, back := d.returned(s); back {
+	if b, back := d.returnedRow(s); back {
 		return b.ID
 	}
 	if b, known := d.Backends[s.Name]; known {
 		if s.Matches(b.Start()) {
 			return s.Name
 		}
-		return laterID(s)
+		return laterRowID(s)
 	}
-	if born, gone := d.order.gone[s.Name]; gone && born != s.Born {
-		return laterID(s)
+	if born, departed := d.indexes.departed[s.Name]; departed && born != s.Born {
+		return laterRowID(s)
 	}
 	return s.Name
 }
 
-// returnedMark is in the IDs of rows whose starts were gone.
+// returnedMark occurs in the IDs of rows whose starts returned after they departed.
 const returnedMark = "~~"
 
-// returned is the row of a start that was gone and has come back.
-func (d *Deployment) returned(s Start) (Backend, bool) {
+// returnedRow returns the row of a start that returned after it departed.
+func (d *Deployment) returnedRow(s Start) (Backend, bool) {
 	b, known := d.Current(s.Name)
 	return b, known && strings.Contains(b.ID, returnedMark) && s.Matches(b.Start())
 }
 
-// ReturnedRowID is the ID of the row under which a start that was gone comes back: its former
-// one stays gone, so that a late heartbeat can't bring it back on a node of any build.
+// ReturnedRowID returns a new row ID for a start that returns after it departed. Its former ID
+// remains departed, so that a late heartbeat cannot add that row again on a node of any build.
 func (d *Deployment) ReturnedRowID(s Start) string {
 	return s.Name + returnedMark + strconv.FormatUint(d.Revision(), 36)
 }
 
-func laterID(s Start) string { return s.Name + "~" + strconv.FormatInt(int64(s.Born), 36) }
+func laterRowID(s Start) string { return s.Name + "~" + strconv.FormatInt(int64(s.Born), 36) }
 
-// found notes a row, whether its back end has others or not: the one that enrolled last
-// is that of the present start.
-func (o *rowOrder) found(d *Deployment, b Backend) {
-	other, known := d.Backends[o.current[b.Name()]]
+// addRow adds a row to current or superseded. Of a back end's rows, the one that enrolled last
+// is current.
+func (x *backendIndexes) addRow(d *Deployment, b Backend) {
+	other, known := d.Backends[x.current[b.Name()]]
 	switch {
 	case !known || other.ID == b.ID:
-		o.current[b.Name()] = b.ID
+		x.current[b.Name()] = b.ID
 	case other.EnrolledRevision > b.EnrolledRevision || (other.EnrolledRevision == b.EnrolledRevision && other.Born > b.Born):
-		o.superseded[b.ID] = struct{}{}
+		x.superseded[b.ID] = struct{}{}
 	default:
-		o.superseded[other.ID] = struct{}{}
-		o.current[b.Name()] = b.ID
+		x.superseded[other.ID] = struct{}{}
+		x.current[b.Name()] = b.ID
 	}
 }
 
-// left notes that a row is gone.
-func (o *rowOrder) left(b Backend) {
-	delete(o.superseded, b.ID)
-	if o.current[b.Name()] == b.ID {
-		delete(o.current, b.Name())
+// removeRow removes a row from current and superseded.
+func (x *backendIndexes) removeRow(b Backend) {
+	delete(x.superseded, b.ID)
+	if x.current[b.Name()] == b.ID {
+		delete(x.current, b.Name())
 	}
 }
