--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -1,13 +1,12 @@
 package raft
 
-// resetElection draws the time of the next election.
+// resetElection restarts the election timer with a random timeout.
 func (n *Node) resetElection() {
 	jitter := n.config.Random.Int64N(int64(n.config.ElectionTimeout))
-	n.electionAt = n.now + n.config.ElectionTimeout + timeOf(jitter)
+	n.electionAt = n.now + n.config.ElectionTimeout + toDuration(jitter)
 }
 
-// becomeFollower enters the term as a follower of leader, or of none when
-// leader is 0.
+// becomeFollower enters the term as a follower of leader. Leader is 0 if it is not known.
 func (n *Node) becomeFollower(term, leader uint64) {
 	if term != n.hard.Term {
 		n.hard.Term = term
@@ -21,65 +20,65 @@
 	n.resetElection()
 }
 
-// occasion is why a node campaigns.
-type occasion int
+// campaignReason is the reason for a campaign.
+type campaignReason int
 
 const (
-	// silence: no leader was heard of for an election timeout.
-	silence occasion = iota
-	// handover: the leader asked this node to take over.
-	handover
-	// returned: this node led the present term before it started anew. Its
-	// lease ended with its last life and the term has had no other leader, so
-	// there is nothing to wait for.
-	returned
+	// electionTimedOut means that no leader was in contact for an election timeout.
+	electionTimedOut campaignReason = iota
+	// leadershipTransfer means that the leader requested this node to take over.
+	leadershipTransfer
+	// restartedAsLeader means that this node led the current term before it restarted. The
+	// term has no other leader and the lease ended with the old process, so there is no lease
+	// to wait for.
+	restartedAsLeader
 )
 
-// campaign asks for pre-votes, or for votes at once when it is known that no
-// lease can be running.
-func (n *Node) campaign(why occasion) {
+// campaign requests pre-votes. It requests votes at once if the reason rules out that another
+// node holds a lease.
+func (n *Node) campaign(reason campaignReason) {
 	n.leader = 0
 	n.votes = map[uint64]bool{}
 	n.resetElection()
-	if why != silence {
-		n.requestVotes(why)
+	if reason != electionTimedOut {
+		n.requestVotes(reason)
 		return
 	}
 	n.role = PreCandidate
-	n.countVote(n.config.ID, true)
+	n.recordVote(n.config.ID, true)
 	if n.role != PreCandidate {
 		return
 	}
-	n.askAll(Message{Type: MessagePreVote, Term: n.hard.Term + 1})
+	n.sendToVoters(Message{Type: MessagePreVote, Term: n.hard.Term + 1})
 }
 
-func (n *Node) requestVotes(why occasion) {
+func (n *Node) requestVotes(reason campaignReason) {
 	n.role = Candidate
-	n.why = why
+	n.reason = reason
 	n.hard.Term++
 	n.hard.Vote = n.config.ID
 	n.votes = map[uint64]bool{}
-	n.countVote(n.config.ID, true)
+	n.recordVote(n.config.ID, true)
 	if n.role != Candidate {
 		return
 	}
-	n.askForVotes()
+	n.sendVoteRequests()
 }
 
-func (n *Node) askForVotes() {
+func (n *Node) sendVoteRequests() {
 	n.heartbeatAt = n.now + n.config.HeartbeatInterval
-	n.askAll(Message{Type: MessageVote, Term: n.hard.Term, Transfer: n.why != silence})
+	n.sendToVoters(Message{Type: MessageVote, Term: n.hard.Term, Transfer: n.reason != electionTimedOut})
 }
 
-// tickCandidate asks again after a return: the others may be starting as well
-// and not have heard the first time.
+// tickCandidate repeats vote requests after a restart, since the other members may have been
+// restarting and missed the first ones.
 func (n *Node) tickCandidate() {
-	if n.why == returned && n.now >= n.heartbeatAt {
-		n.askForVotes()
+	if n.reason == restartedAsLeader && n.now >= n.heartbeatAt {
+		n.sendVoteRequests()
 	}
 }
 
-func (n *Node) askAll(m Message) {
+func (n *Node) sendToVoters(m Message) {
 	m.Index, m.LogTerm = n.log.last(), n.log.lastTerm()
 	for _, id := range n.others() {
 		if n.members.IsVoter(id) {
@@ -89,8 +88,8 @@
 	}
 }
 
-// countVote records an answer and acts on a majority.
-func (n *Node) countVote(from uint64, granted bool) {
+// recordVote records a vote or pre-vote and acts on a majority.
+func (n *Node) recordVote(from uint64, granted bool) {
 	if !n.members.IsVoter(from) {
 		return
 	}
@@ -105,7 +104,7 @@
 	}
 	switch {
 	case yes >= n.members.Quorum() && n.role == PreCandidate:
-		n.requestVotes(silence)
+		n.requestVotes(electionTimedOut)
 	case yes >= n.members.Quorum() && n.role == Candidate:
 		n.becomeLeader()
 	case no >= n.members.Quorum():
@@ -127,17 +126,17 @@
 }
 
 func (n *Node) newProgress() *progress {
-	return &progress{next: n.log.last() + 1, probing: true, heard: n.now, echoed: -n.config.LeaseDuration}
+	return &progress{next: n.log.last() + 1, probing: true, active: n.now, ackedSentAt: -n.config.LeaseDuration}
 }
 
-// leaderIsAlive tells whether the node heard from a leader so lately that it
-// must not help to elect another: the old one may count on its lease.
-func (n *Node) leaderIsAlive() bool {
-	return n.role == Leader || n.now-n.leaderHeard < n.config.ElectionTimeout
+// hasRecentLeader reports whether the node is the leader or was in contact with one within an
+// election timeout. It must then not help to elect another, since the leader may hold a lease.
+func (n *Node) hasRecentLeader() bool {
+	return n.role == Leader || n.now-n.leaderContact < n.config.ElectionTimeout
 }
 
 func (n *Node) handlePreVote(m Message) {
-	granted := m.Term > n.hard.Term && n.log.upToDate(m.Index, m.LogTerm) && !n.leaderIsAlive()
+	granted := m.Term > n.hard.Term && n.log.upToDate(m.Index, m.LogTerm) && !n.hasRecentLeader()
 	reply := Message{Type: MessagePreVoteReply, To: m.From, Term: m.Term, Reject: !granted}
 	if !granted {
 		reply.Term = max(n.hard.Term, 1)
@@ -145,7 +144,7 @@
 	n.send(reply)
 }
 
-// handleVote answers a candidate of the node's own term.
+// handleVote answers a vote request of the current term.
 func (n *Node) handleVote(m Message) {
 	free := n.hard.Vote == 0 || n.hard.Vote == m.From
 	granted := free && n.log.upToDate(m.Index, m.LogTerm)
@@ -156,9 +155,9 @@
 	n.send(Message{Type: MessageVoteReply, To: m.From, Reject: !granted})
 }
 
-// TransferLeadership starts a hand-over to a voter, for a planned stop. The
-// leader takes no proposals meanwhile, and steps down after an election timeout if
-// nobody has taken over.
+// TransferLeadership starts a transfer of the leadership to a voter, for a planned stop. The
+// leader rejects proposals meanwhile, and steps down if no other leader emerged after an
+// election timeout. It returns ErrNotLeader or ErrUnknownMember.
 func (n *Node) TransferLeadership(to uint64) error {
 	if n.role != Leader {
 		return ErrNotLeader
@@ -167,12 +166,12 @@
 		return ErrUnknownMember
 	}
 	n.transferring = to
-	n.transferEnd = n.now + n.config.ElectionTimeout
+	n.transferDeadline = n.now + n.config.ElectionTimeout
 	n.finishTransfer(to)
 	return nil
 }
 
-// finishTransfer lets the target campaign once it holds the whole log.
+// finishTransfer requests the target of a transfer to campaign once it has the whole log.
 func (n *Node) finishTransfer(from uint64) {
 	if n.transferring == from && n.progress[from].match == n.log.last() {
 		n.send(Message{Type: MessageTimeoutNow, To: from})
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// log is the part of the replicated log after the last snapshot.
+// log is the part of the replicated log that was not compacted.
 //
-// Invariants: entries[i].Index == offset+1+i; offset <= commit <= last;
-// applied <= commit; stable <= last. Entries up to stable are durable.
+// Invariants: entries[i].Index == offset+1+i; offset <= commit <= last; applied <= commit;
+// stable <= last. Entries up to stable are durable.
 type log struct {
-	offset     uint64 // index of the last entry that the snapshot covers
+	offset     uint64 // index of the last compacted entry
 	offsetTerm uint64
 	entries    []Entry
 	stable     uint64
@@ -17,7 +17,7 @@
 
 func (l *log) last() uint64 { return l.offset + uint64(len(l.entries)) }
 
-// term returns the term of the entry at index, and false when it is not held.
+// term returns the term of the entry at index, and false if the log does not have it.
 func (l *log) term(index uint64) (uint64, bool) {
 	if index == l.offset {
 		return l.offsetTerm, true
@@ -33,7 +33,7 @@
 	return term
 }
 
-// slice returns entries from index on, at most limit of them.
+// slice returns at most limit entries, starting with index from.
 func (l *log) slice(from uint64, limit int) []Entry {
 	if from <= l.offset || from > l.last() {
 		return nil
@@ -54,9 +54,8 @@
 	l.entries = append(l.entries, entries...)
 }
 
-// merge adds entries that follow a matched entry. It drops held
-// entries only where terms differ, so that a late message cannot shorten the
-// log.
+// merge adds entries that follow a matching entry. It truncates the log only where terms differ,
+// so that a late message cannot shorten it.
 func (l *log) merge(entries []Entry) {
 	for i, e := range entries {
 		term, held := l.term(e.Index)
@@ -78,7 +77,7 @@
 	l.stable = min(l.stable, index-1)
 }
 
-// compact drops entries up to index, which must be applied.
+// compact drops the entries up to index, which must be applied.
 func (l *log) compact(index uint64) {
 	if index <= l.offset {
 		return
@@ -88,15 +87,15 @@
 	l.offset, l.offsetTerm = index, term
 }
 
-// restore replaces the log by a snapshot.
+// restore replaces the log with a snapshot that ends at the given index and term.
 func (l *log) restore(index, term uint64) {
 	l.entries = nil
 	l.offset, l.offsetTerm = index, term
 	l.stable, l.commit, l.applied = index, index, index
 }
 
-// upToDate tells whether a log that ends in (index, term) holds at least what
-// this one does.
+// upToDate reports whether a log whose last entry has the given index and term is at least as up
+// to date as this one.
 func (l *log) upToDate(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -8,18 +8,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ProposeChange appends a membership change of one server. Only one may be
-// uncommitted at a time, and only after the leader has committed an entry of
-// its own term; both together keep any two majorities overlapping.
+// ProposeChange appends a membership change of one server and returns its log index. It returns
+// ErrChangePending while an earlier change is uncommitted or before the leader has committed an
+// entry of its own term; together the two rules keep the majorities of successive memberships
+// overlapping.
 func (n *Node) ProposeChange(now time.Duration, change Change) (index uint64, err error) {
 	n.advanceClock(now)
 	if n.role != Leader || n.transferring != 0 {
 		return 0, ErrNotLeader
 	}
-	if n.changes[len(n.changes)-1].index > n.log.commit || n.log.commit < n.termStart {
+	if n.memberships[len(n.memberships)-1].index > n.log.commit || n.log.commit < n.termStart {
 		return 0, ErrChangePending
 	}
-	members, err := n.changed(change)
+	members, err := n.membershipAfter(change)
 	if err != nil {
 		return 0, err
 	}
@@ -30,13 +31,13 @@
 	return n.appendEntry(EntryMembership, data), nil
 }
 
-// changed returns the membership after a change.
-func (n *Node) changed(change Change) (Membership, error) {
+// membershipAfter returns the membership after a change.
+func (n *Node) membershipAfter(change Change) (Membership, error) {
 	members := n.members.Clone()
 	switch change.Kind {
 	case AddLearner:
 		if slices.Contains(members.Members(), change.ID) {
-			return members, errors.Newf("member %d is there already; numbers are never used again", change.ID)
+			return members, errors.Newf("member %d already exists; member IDs are never used again", change.ID)
 		}
 		members.Learners = append(members.Learners, change.ID)
 		if members.Addresses == nil {
@@ -50,7 +51,7 @@
 		if !n.caughtUp(change.ID) {
 			return members, ErrNotCaughtUp
 		}
-		members.Learners = without(members.Learners, change.ID)
+		members.Learners = removeID(members.Learners, change.ID)
 		members.Voters = append(members.Voters, change.ID)
 	case RemoveMember:
 		if !slices.Contains(members.Members(), change.ID) {
@@ -59,60 +60,61 @@
 		if members.IsVoter(change.ID) && len(members.Voters) == 1 {
 			return members, ErrLastVoter
 		}
-		members.Voters = without(members.Voters, change.ID)
-		members.Learners = without(members.Learners, change.ID)
+		members.Voters = removeID(members.Voters, change.ID)
+		members.Learners = removeID(members.Learners, change.ID)
 		delete(members.Addresses, change.ID)
 	default:
-		return members, errors.Newf("unknown change %q", change.Kind)
+		return members, errors.Newf("unknown membership change %q", change.Kind)
 	}
 	return members, nil
 }
 
-// promotionSlack is how far behind the log a learner may be when promoted.
+// promotionSlack is the number of entries by which a learner may lag when it is promoted.
 const promotionSlack = 16
 
-// caughtUp tells whether a learner holds nearly the whole log and answered
-// lately. A replaced machine counts for a quorum only from then on.
+// caughtUp reports whether a learner has nearly the whole log and replied within an election
+// timeout.
 func (n *Node) caughtUp(id uint64) bool {
 	p := n.progress[id]
 	if p == nil {
 		return false
 	}
 	return p.match+promotionSlack >= n.log.last() && p.match >= n.termStart &&
-		n.now-p.heard < n.config.ElectionTimeout
+		n.now-p.active < n.config.ElectionTimeout
 }
 
-// noteMembership puts an appended membership in force.
-func (n *Node) noteMembership(e Entry) {
-	if e.Kind != EntryMembership || e.Index <= n.changes[len(n.changes)-1].index {
+// applyMembership puts the membership of an appended entry in force. Entries of other kinds are
+// ignored.
+func (n *Node) applyMembership(e Entry) {
+	if e.Kind != EntryMembership || e.Index <= n.memberships[len(n.memberships)-1].index {
 		return
 	}
 	var members Membership
 	if err := json.Unmarshal(e.Data, &members); err != nil {
 		return
 	}
-	n.changes = append(n.changes, membershipAt{index: e.Index, members: members})
-	n.enforce(members)
+	n.memberships = append(n.memberships, membershipAt{index: e.Index, members: members})
+	n.setMembership(members)
 }
 
-// dropMemberships undoes memberships whose entries were cut off by a leader's
-// log.
-func (n *Node) dropMemberships(from, before uint64) {
+// revertMemberships reverts memberships whose entries a merge replaced. From is the index of the
+// first merged entry, before the last index of the log before the merge.
+func (n *Node) revertMemberships(from, before uint64) {
 	if from > before {
 		return
 	}
-	for len(n.changes) > 1 {
-		latest := n.changes[len(n.changes)-1]
-		if latest.index < from || n.holdsChange(latest) {
+	for len(n.memberships) > 1 {
+		latest := n.memberships[len(n.memberships)-1]
+		if latest.index < from || n.logHolds(latest) {
 			break
 		}
-		n.changes = n.changes[:len(n.changes)-1]
+		n.memberships = n.memberships[:len(n.memberships)-1]
 	}
-	n.members = n.changes[len(n.changes)-1].members.Clone()
+	n.members = n.memberships[len(n.memberships)-1].members.Clone()
 }
 
-// holdsChange tells whether the log still holds the membership at its index.
-func (n *Node) holdsChange(c membershipAt) bool {
+// logHolds reports whether the log still has the membership at its index.
+func (n *Node) logHolds(c membershipAt) bool {
 	entries := n.log.slice(c.index, 1)
 	if len(entries) == 0 || entries[0].Kind != EntryMembership {
 		return false
@@ -124,7 +126,7 @@
 	return slices.Equal(members.Voters, c.members.Voters) && slices.Equal(members.Learners, c.members.Learners)
 }
 
-func (n *Node) enforce(members Membership) {
+func (n *Node) setMembership(members Membership) {
 	n.members = members.Clone()
 	if n.role != Leader {
 		return
@@ -141,13 +143,13 @@
 	}
 }
 
-// stepDownIfRemoved ends the leadership of a node whose removal is committed.
+// stepDownIfRemoved makes a leader step down once its removal is committed.
 func (n *Node) stepDownIfRemoved() {
-	if n.role == Leader && !n.members.IsVoter(n.config.ID) && n.changes[len(n.changes)-1].index <= n.log.commit {
+	if n.role == Leader && !n.members.IsVoter(n.config.ID) && n.memberships[len(n.memberships)-1].index <= n.log.commit {
 		n.becomeFollower(n.hard.Term, 0)
 	}
 }
 
-func without(ids []uint64, id uint64) []uint64 {
+func removeID(ids []uint64, id uint64) []uint64 {
 	return slices.DeleteFunc(slices.Clone(ids), func(x uint64) bool { return x == id })
 }
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -14,29 +14,29 @@
 	maxEntriesPerMessage = 256
 	maxInflightMessages  = 16
 	maxUncommitted       = 8192
-	// compactionSlack is how many entries are kept behind a snapshot so that a
-	// follower that is slightly behind needs none.
+	// compactionSlack is the number of entries before a snapshot that are retained, so that a
+	// follower that lags slightly does not need the snapshot.
 	compactionSlack = 200
 )
 
-// Config says how a Node behaves.
+// Config holds the settings of a Node.
 type Config struct {
-	// ID is the node's own number, never 0 and never used again.
+	// ID is the node's member ID. It is not 0 and never used again for another node.
 	ID uint64
-	// ElectionTimeout is the least time without a leader before an election.
-	// A random time up to the same again is added.
+	// ElectionTimeout is the least time without a leader before an election. A random time of
+	// up to the same length is added.
 	ElectionTimeout time.Duration
 	// HeartbeatInterval is the time between a leader's heartbeats.
 	HeartbeatInterval time.Duration
-	// LeaseDuration is how long a leader may believe in itself after a quorum
-	// answered. It must be less than ElectionTimeout by more than clocks may
-	// drift apart in that time.
+	// LeaseDuration is the validity of a leader's lease, counted from the sending of a message
+	// that a quorum accepted. It must be shorter than ElectionTimeout by more than the clocks
+	// of two members may drift apart in that time.
 	LeaseDuration time.Duration
 	// Random is the source of election jitter.
 	Random *rand.Rand
 }
 
-// Validate checks the relations between the durations.
+// Validate returns an error if the ID is 0 or the durations do not fit together.
 func (c Config) Validate() error {
 	if c.ID == 0 {
 		return errors.New("raft: the ID is 0")
@@ -50,32 +50,33 @@
 	return nil
 }
 
-// StoredState is what a node finds on its disk at start.
+// StoredState is a node's durable state, as read when it starts.
 type StoredState struct {
 	HardState HardState
-	// Snapshot is nil when there is none.
+	// Snapshot is nil if there is none.
 	Snapshot *Snapshot
-	// Entries follow the snapshot.
+	// Entries are the log entries after the snapshot.
 	Entries []Entry
-	// Initial is the membership of a new group. It is used only when there is
-	// no snapshot and the log holds no membership.
+	// Initial is the membership of a new group. It is ignored if there is a snapshot, and
+	// replaced by any membership in the log.
 	Initial Membership
 }
 
-// progress is the leader's account of one other member.
+// progress is the leader's view of the replication to one other member. Its times are readings
+// of the leader's clock.
 type progress struct {
-	match    uint64
-	next     uint64
-	inflight int
-	// probing sends one message at a time until the logs match.
+	match    uint64 // highest index known to be durable on the member
+	next     uint64 // index of the next entry to send
+	inflight int    // append messages without a reply
+	// probing limits the leader to one append message at a time until the logs match.
 	probing bool
-	// snapshotAt is the index of a snapshot under way, or 0.
+	// snapshotAt is the index of the snapshot that is being sent, or 0.
 	snapshotAt uint64
-	// heard is when the member last answered, by the leader's clock.
-	heard time.Duration
-	// echoed is the latest Sent that the member answered.
-	echoed time.Duration
-	// resendAt is when a probe or snapshot is repeated.
+	// active is the time of the member's last reply.
+	active time.Duration
+	// ackedSentAt is the highest SentAt of the messages that the member accepted.
+	ackedSentAt time.Duration
+	// resendAt is the time from which a probe or snapshot is sent again.
 	resendAt time.Duration
 }
 
@@ -90,20 +91,20 @@
 	leader  uint64
 	log     log
 	members Membership
-	// changes lists the appended memberships with their indexes, oldest first,
-	// so that a truncated one can be undone.
-	changes []membershipAt
-
-	electionAt   time.Duration
-	heartbeatAt  time.Duration
-	leaderHeard  time.Duration
-	votes        map[uint64]bool
-	why          occasion // of the campaign under way
-	progress     map[uint64]*progress
-	termStart    uint64 // index of the leader's first entry of its term
-	transferring uint64
-	transferEnd  time.Duration
-	unsent       bool // entries were appended since the last Ready
+	// memberships lists the appended memberships with their log indexes, oldest first, so that
+	// a truncated one can be reverted.
+	memberships []membershipAt
+
+	electionAt       time.Duration
+	heartbeatAt      time.Duration
+	leaderContact    time.Duration
+	votes            map[uint64]bool
+	reason           campaignReason // of the campaign under way
+	progress         map[uint64]*progress
+	termStart        uint64 // index of the leader's first entry of its term
+	transferring     uint64
+	transferDeadline time.Duration
+	hasUnsent        bool // entries were appended since the last Ready
 
 	snapshot        *Snapshot // latest snapshot, for followers that are behind
 	pendingSnapshot *Snapshot
@@ -115,9 +116,8 @@
 	members Membership
 }
 
-// NewNode returns a node that starts at now with what its disk held. It stays
-// silent towards candidates for one election timeout: it may have promised a
-// lease before it stopped.
+// NewNode returns a node that starts at now with its stored state. It ignores candidates for one
+// election timeout, since it may have acknowledged a leader's lease before it stopped.
 func NewNode(config Config, stored StoredState, now time.Duration) (*Node, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -129,24 +129,24 @@
 		n.members = s.Membership.Clone()
 		n.snapshot = s
 	}
-	n.changes = []membershipAt{{index: n.log.offset, members: n.members}}
+	n.memberships = []membershipAt{{index: n.log.offset, members: n.members}}
 	n.log.append(stored.Entries...)
 	n.log.stable = n.log.last()
 	n.log.commit = min(max(n.hard.Commit, n.log.offset), n.log.last())
 	n.log.applied = n.log.offset
 	for _, e := range stored.Entries {
-		n.noteMembership(e)
+		n.applyMembership(e)
 	}
-	n.leaderHeard = now
+	n.leaderContact = now
 	n.resetElection()
 	if n.hard.LedTerm != 0 && n.hard.LedTerm == n.hard.Term && n.members.IsVoter(config.ID) {
-		n.campaign(returned)
+		n.campaign(restartedAsLeader)
 	}
 	return n, nil
 }
 
-// Tick tells the node the time. It is called at least every heartbeat
-// interval.
+// Tick advances the node's clock and runs what is due. It must be called at least once in every
+// heartbeat interval.
 func (n *Node) Tick(now time.Duration) {
 	n.advanceClock(now)
 	if n.role == Leader {
@@ -154,7 +154,7 @@
 		return
 	}
 	if n.now >= n.electionAt && n.members.IsVoter(n.config.ID) {
-		n.campaign(silence)
+		n.campaign(electionTimedOut)
 		return
 	}
 	if n.role == Candidate {
@@ -165,13 +165,13 @@
 func (n *Node) advanceClock(now time.Duration) { n.now = max(n.now, now) }
 
 func (n *Node) tickLeader() {
-	if !n.quorumHeard() {
+	if !n.quorumActive() {
 		n.becomeFollower(n.hard.Term, 0)
 		return
 	}
-	if n.transferring != 0 && n.now >= n.transferEnd {
-		// The hand-over message may still arrive and elect its receiver
-		// without regard to the lease, so this leadership cannot go on.
+	if n.transferring != 0 && n.now >= n.transferDeadline {
+		// The target may still receive the transfer message and be elected without regard to
+		// this node's lease, so this node cannot continue to lead.
 		n.becomeFollower(n.hard.Term, 0)
 		return
 	}
@@ -181,25 +181,25 @@
 	}
 }
 
-// quorumHeard tells whether a majority answered within an election timeout.
-func (n *Node) quorumHeard() bool {
-	heard := 0
+// quorumActive reports whether a majority replied within an election timeout.
+func (n *Node) quorumActive() bool {
+	active := 0
 	for _, id := range n.members.Voters {
-		if id == n.config.ID || n.now-n.progress[id].heard < n.config.ElectionTimeout {
-			heard++
+		if id == n.config.ID || n.now-n.progress[id].active < n.config.ElectionTimeout {
+			active++
 		}
 	}
-	return heard >= n.members.Quorum()
+	return active >= n.members.Quorum()
 }
 
-// HoldsLease tells whether the node may act as the only leader at now. Another
-// leader cannot have been elected before the lease ends, as long as clocks
-// drift less than Config allows. A caller that acts on it must still carry the
-// fence of its term, because it can be stopped between the check and the act.
+// HoldsLease reports whether the node may act as the only leader at now. No other leader can be
+// elected before the lease ends, as long as clocks drift less than Config allows. A caller that
+// acts on it must still pass the fence of its term, because the process may be paused between
+// the check and the action.
 func (n *Node) HoldsLease(now time.Duration) bool { return now < n.LeaseUntil() }
 
-// LeaseUntil is the end of the lease as far as it is known now, 0 for a node that
-// has none.
+// LeaseUntil returns the end of the lease by the node's clock, or 0 if the node has none. Replies
+// extend it.
 func (n *Node) LeaseUntil() time.Duration {
 	if n.role != Leader || n.transferring != 0 {
 		return 0
@@ -207,25 +207,25 @@
 	if committed, _ := n.log.term(n.log.commit); committed != n.hard.Term {
 		return 0
 	}
-	return n.quorumEchoed() + n.config.LeaseDuration
+	return n.quorumAckedSentAt() + n.config.LeaseDuration
 }
 
-// quorumEchoed is the latest time at which a majority had still accepted this
-// leader.
-func (n *Node) quorumEchoed() time.Duration {
+// quorumAckedSentAt returns the latest send time by which a majority accepted this leader.
+func (n *Node) quorumAckedSentAt() time.Duration {
 	times := make([]time.Duration, 0, len(n.members.Voters))
 	for _, id := range n.members.Voters {
 		if id == n.config.ID {
 			times = append(times, n.now)
 			continue
 		}
-		times = append(times, n.progress[id].echoed)
+		times = append(times, n.progress[id].ackedSentAt)
 	}
 	slices.Sort(times)
 	return times[len(times)-n.members.Quorum()]
 }
 
-// Propose appends a command. Only the leader may.
+// Propose appends a command to the leader's log and returns its log index. It returns
+// ErrNotLeader or ErrTooManyUncommitted.
 func (n *Node) Propose(now time.Duration, data json.RawMessage) (index uint64, err error) {
 	n.advanceClock(now)
 	if n.role != Leader || n.transferring != 0 {
@@ -240,38 +240,37 @@
 func (n *Node) appendEntry(kind EntryKind, data json.RawMessage) uint64 {
 	e := Entry{Index: n.log.last() + 1, Term: n.hard.Term, Kind: kind, Data: data}
 	n.log.append(e)
-	n.noteMembership(e)
-	n.unsent = true
+	n.applyMembership(e)
+	n.hasUnsent = true
 	return e.Index
 }
 
-// replicate sends appended entries to the other members. It runs once for each
-// Ready, so that entries proposed together travel together.
+// replicate sends appended entries to the other members. It runs once for each Ready, so that
+// entries proposed together are sent in one message.
 func (n *Node) replicate() {
-	if !n.unsent || n.role != Leader {
+	if !n.hasUnsent || n.role != Leader {
 		return
 	}
-	n.unsent = false
+	n.hasUnsent = false
 	for _, id := range n.others() {
 		n.sendAppend(id)
 	}
 }
 
-// HasReady tells whether Ready has work.
+// HasReady reports whether Ready would return any work.
 func (n *Node) HasReady() bool {
 	return n.mustSave() || n.pendingSnapshot != nil || len(n.messages) > 0 ||
 		n.log.stable < n.log.last() || n.log.applied < n.log.commit
 }
 
-// mustSave tells whether the term or the vote changed. A new commit index alone
-// need not be durable: it is learned again. It is saved along with entries, as
-// a check that the log was not cut.
+// mustSave reports whether the hard state must be saved. A change of the commit index alone need
+// not be durable, since the leader sends it again. It is saved together with entries, so that a
+// log that lost committed entries can be detected.
 func (n *Node) mustSave() bool {
 	return n.hard.Term != n.saved.Term || n.hard.Vote != n.saved.Vote || n.hard.LedTerm != n.saved.LedTerm
 }
 
-// Ready returns the work at hand. The caller does it and calls Advance before
-// it calls anything else.
+// Ready returns the pending work. The caller must do it and call Advance before any other method.
 func (n *Node) Ready() Ready {
 	n.replicate()
 	n.hard.Commit = n.log.commit
@@ -286,7 +285,7 @@
 	return r
 }
 
-// Advance tells the node that the work of r is done.
+// Advance marks the work of r as done.
 func (n *Node) Advance(r Ready) {
 	if r.HardState != nil {
 		n.saved = *r.HardState
@@ -305,8 +304,8 @@
 	}
 }
 
-// Compact tells the node that snapshot s is durable and that entries it covers
-// may be forgotten. It returns the index up to which the log was cut.
+// Compact drops entries that s covers, which must be durable. It returns the index of the last
+// entry that was dropped.
 func (n *Node) Compact(s *Snapshot) uint64 {
 	n.snapshot = s
 	if s.Index > compactionSlack {
@@ -315,24 +314,23 @@
 	return n.log.offset
 }
 
-// MembershipAt returns the membership in force at an applied index, for a
-// snapshot.
+// MembershipAt returns the membership in force at an applied index, for a snapshot.
 func (n *Node) MembershipAt(index uint64) Membership {
-	for i := len(n.changes) - 1; i >= 0; i-- {
-		if n.changes[i].index <= index {
-			return n.changes[i].members.Clone()
+	for i := len(n.memberships) - 1; i >= 0; i-- {
+		if n.memberships[i].index <= index {
+			return n.memberships[i].members.Clone()
 		}
 	}
-	return n.changes[0].members.Clone()
+	return n.memberships[0].members.Clone()
 }
 
-// Term returns the term of a held entry.
+// Term returns the term of the entry at index, or 0 if the log does not have it.
 func (n *Node) Term(index uint64) uint64 {
 	term, _ := n.log.term(index)
 	return term
 }
 
-// Status returns a view of the node.
+// Status returns the current status of the node.
 func (n *Node) Status() Status {
 	s := Status{ID: n.config.ID, Role: n.role, Term: n.hard.Term, Leader: n.leader, Commit: n.log.commit,
 		Applied: n.log.applied, LastIndex: n.log.last(), FirstIndex: n.log.offset + 1, Membership: n.members.Clone()}
@@ -341,7 +339,7 @@
 		s.SinceContact = map[uint64]ElapsedSeconds{}
 		for id, p := range n.progress {
 			s.Match[id] = p.match
-			s.SinceContact[id] = ElapsedSeconds((n.now - p.heard).Seconds())
+			s.SinceContact[id] = ElapsedSeconds((n.now - p.active).Seconds())
 		}
 	}
 	return s
@@ -361,10 +359,10 @@
 	n.messages = append(n.messages, m)
 }
 
-// Role returns the node's role.
+// Role returns the node's role in the current term.
 func (n *Node) Role() Role { return n.role }
 
-// Stable returns the held entries that are durable.
+// Stable returns the durable entries that were not compacted.
 func (n *Node) Stable() []Entry {
 	return n.log.upTo(n.log.offset, n.log.stable)
 }
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -9,17 +9,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// group is nodes over a network that delivers at once, with disks that never
-// fail. The simulator has the faults; here are the rules one by one.
+// group is a set of nodes on a network without delay, with disks that never fail. Faults are
+// tested by package simulation.
 type group struct {
-	t     *testing.T
-	now   time.Duration
-	nodes map[uint64]*Node
-	cut   map[uint64]bool
+	t        *testing.T
+	now      time.Duration
+	nodes    map[uint64]*Node
+	isolated map[uint64]bool
 }
 
 func newGroup(t *testing.T, ids ...uint64) *group {
-	g := &group{t: t, nodes: map[uint64]*Node{}, cut: map[uint64]bool{}}
+	g := &group{t: t, nodes: map[uint64]*Node{}, isolated: map[uint64]bool{}}
 	for _, id := range ids {
 		g.add(id, Membership{Voters: ids})
 	}
@@ -34,8 +34,8 @@
 	return n
 }
 
-// pass lets time go by and delivers all messages.
-func (g *group) pass(length time.Duration) {
+// advance advances the clock in steps and delivers all messages.
+func (g *group) advance(length time.Duration) {
 	for end := g.now + length; g.now < end; g.now += 20 * time.Millisecond {
 		for id := uint64(1); id <= 9; id++ {
 			if n := g.nodes[id]; n != nil {
@@ -56,7 +56,7 @@
 				r := n.Ready()
 				n.Advance(r)
 				for _, m := range r.Messages {
-					if to := g.nodes[m.To]; to != nil && !g.cut[m.From] && !g.cut[m.To] {
+					if to := g.nodes[m.To]; to != nil && !g.isolated[m.From] && !g.isolated[m.To] {
 						to.Step(g.now, m)
 					}
 				}
@@ -81,13 +81,13 @@
 	return index
 }
 
-func TestOneLeaderCommits(t *testing.T) {
+func TestLeaderReplicatesAndCommits(t *testing.T) {
 	g := newGroup(t, 1, 2, 3)
-	g.pass(4 * time.Second)
+	g.advance(4 * time.Second)
 	leader := g.leader()
 	assert.Assert(t, leader != nil)
 	index := g.propose(leader)
-	g.pass(200 * time.Millisecond)
+	g.advance(200 * time.Millisecond)
 	for _, n := range g.nodes {
 		assert.Assert(t, n.Status().Commit >= index)
 	}
@@ -96,43 +96,43 @@
 	assert.ErrorIs(t, err, ErrNotLeader)
 }
 
-func TestACutLeaderLosesItsLeaseBeforeAnotherWins(t *testing.T) {
+func TestIsolatedLeaderLosesLeaseBeforeElection(t *testing.T) {
 	g := newGroup(t, 1, 2, 3)
-	g.pass(4 * time.Second)
+	g.advance(4 * time.Second)
 	old := g.leader()
 	term := old.Status().Term
-	g.cut[old.Status().ID] = true
+	g.isolated[old.Status().ID] = true
 	for old.HoldsLease(g.now) {
 		assert.Equal(t, g.leader(), old)
-		g.pass(20 * time.Millisecond)
+		g.advance(20 * time.Millisecond)
 	}
-	g.pass(4 * time.Second)
+	g.advance(4 * time.Second)
 	assert.Assert(t, g.leader() != nil && g.leader() != old)
 	assert.Assert(t, g.leader().Status().Term > term)
-	// The old one steps down by itself and joins in again.
+	// The old leader steps down by itself and follows the new one.
 	assert.Equal(t, old.Role() == Leader, false)
-	g.cut[old.Status().ID] = false
-	g.pass(time.Second)
+	g.isolated[old.Status().ID] = false
+	g.advance(time.Second)
 	assert.Equal(t, old.Status().Leader, g.leader().Status().ID)
 }
 
-func TestAReturningNodeDoesNotDisturb(t *testing.T) {
+func TestRejoiningNodeDoesNotDisruptLeader(t *testing.T) {
 	g := newGroup(t, 1, 2, 3)
-	g.pass(4 * time.Second)
+	g.advance(4 * time.Second)
 	leader := g.leader()
 	other := g.nodes[leader.Status().ID%3+1]
-	g.cut[other.Status().ID] = true
-	g.pass(20 * time.Second)
+	g.isolated[other.Status().ID] = true
+	g.advance(20 * time.Second)
 	term := leader.Status().Term
-	g.cut[other.Status().ID] = false
-	g.pass(5 * time.Second)
+	g.isolated[other.Status().ID] = false
+	g.advance(5 * time.Second)
 	assert.Equal(t, g.leader(), leader)
 	assert.Equal(t, leader.Status().Term, term)
 }
 
-func TestALearnerCountsOnlyAfterItHasCaughtUp(t *testing.T) {
+func TestPromotionRequiresCaughtUpLearner(t *testing.T) {
 	g := newGroup(t, 1, 2, 3)
-	g.pass(4 * time.Second)
+	g.advance(4 * time.Second)
 	leader := g.leader()
 	for range 100 {
 		g.propose(leader)
@@ -143,25 +143,25 @@
 		return err
 	}
 	assert.ErrorIs(t, change(Promote), ErrUnknownMember)
-	g.cut[4] = true
+	g.isolated[4] = true
 	g.add(4, Membership{})
 	assert.NilError(t, change(AddLearner))
-	g.pass(time.Second)
+	g.advance(time.Second)
 	assert.ErrorIs(t, change(Promote), ErrNotCaughtUp)
-	g.cut[4] = false
-	g.pass(5 * time.Second)
+	g.isolated[4] = false
+	g.advance(5 * time.Second)
 	assert.NilError(t, change(Promote))
-	g.pass(time.Second)
+	g.advance(time.Second)
 	assert.Equal(t, leader.Status().Membership.Quorum(), 3)
 	assert.ErrorContains(t, change(AddLearner), "never used again")
 }
 
-func TestOneChangeAtATime(t *testing.T) {
+func TestOneMembershipChangeAtATime(t *testing.T) {
 	g := newGroup(t, 1, 2, 3)
-	g.pass(4 * time.Second)
+	g.advance(4 * time.Second)
 	leader := g.leader()
 	for _, id := range []uint64{1, 2, 3} {
-		g.cut[id] = id != leader.Status().ID
+		g.isolated[id] = id != leader.Status().ID
 	}
 	_, err := leader.ProposeChange(g.now, Change{Kind: AddLearner, ID: 5})
 	assert.NilError(t, err)
@@ -169,36 +169,36 @@
 	assert.ErrorIs(t, err, ErrChangePending)
 }
 
-func TestAFollowerFarBehindGetsASnapshot(t *testing.T) {
+func TestLaggingFollowerGetsSnapshot(t *testing.T) {
 	g := newGroup(t, 1, 2, 3)
-	g.pass(4 * time.Second)
+	g.advance(4 * time.Second)
 	leader := g.leader()
 	behind := g.nodes[leader.Status().ID%3+1]
-	g.cut[behind.Status().ID] = true
+	g.isolated[behind.Status().ID] = true
 	for range 2 * compactionSlack {
 		g.propose(leader)
 	}
 	applied := leader.Status().Applied
 	leader.Compact(&Snapshot{Index: applied, Term: leader.Term(applied), Membership: leader.MembershipAt(applied)})
 	assert.Assert(t, leader.Status().FirstIndex > 1)
-	g.cut[behind.Status().ID] = false
-	g.pass(5 * time.Second)
+	g.isolated[behind.Status().ID] = false
+	g.advance(5 * time.Second)
 	assert.Equal(t, behind.Status().Applied, leader.Status().Applied)
 	assert.Assert(t, behind.Status().FirstIndex > 1)
 }
 
-func TestLeadershipIsHandedOver(t *testing.T) {
+func TestTransferLeadership(t *testing.T) {
 	g := newGroup(t, 1, 2, 3)
-	g.pass(4 * time.Second)
+	g.advance(4 * time.Second)
 	leader := g.leader()
 	to := leader.Status().ID%3 + 1
 	assert.NilError(t, leader.TransferLeadership(to))
 	assert.Assert(t, !leader.HoldsLease(g.now))
-	g.pass(300 * time.Millisecond)
+	g.advance(300 * time.Millisecond)
 	assert.Equal(t, g.leader(), g.nodes[to])
 }
 
-func TestSettingsThatBreakTheLeaseAreRefused(t *testing.T) {
+func TestConfigValidate(t *testing.T) {
 	c := Config{ID: 1, ElectionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond, LeaseDuration: time.Second}
 	assert.ErrorContains(t, c.Validate(), "not below the election timeout")
 	c.LeaseDuration, c.HeartbeatInterval = 800*time.Millisecond, 500*time.Millisecond
@@ -207,62 +207,62 @@
 	assert.ErrorContains(t, c.Validate(), "ID is 0")
 }
 
-// restart stops a node and starts it from what its disk held.
+// restart replaces a node with one that starts from its durable state.
 func (g *group) restart(id uint64) *Node {
 	old := g.nodes[id]
-	n, err := NewNode(old.config, StoredState{HardState: old.saved, Entries: old.Stable(), Initial: old.changes[0].members}, g.now)
+	n, err := NewNode(old.config, StoredState{HardState: old.saved, Entries: old.Stable(), Initial: old.memberships[0].members}, g.now)
 	assert.NilError(g.t, err)
 	g.nodes[id] = n
 	return n
 }
 
-// All nodes lost power: they used to wait for an election timeout, for each may
-// have promised a lease. The one that held it knows that it is gone.
-func TestTheLeaderReturnsAtOnceWhenAllWereLost(t *testing.T) {
+// After a restart of all nodes, the former leader campaigns at once instead of waiting for an
+// election timeout: the lease was its own and has ended.
+func TestLeaderCampaignsAtOnceAfterFullRestart(t *testing.T) {
 	g := newGroup(t, 1, 2, 3, 4, 5)
-	g.pass(4 * time.Second)
+	g.advance(4 * time.Second)
 	id := g.leader().Status().ID
 	index := g.propose(g.leader())
 	for other := uint64(1); other <= 5; other++ {
 		g.restart(other)
 	}
-	// The others are a moment late.
-	g.cut[id] = true
-	g.pass(60 * time.Millisecond)
-	g.cut[id] = false
-	g.pass(200 * time.Millisecond)
+	// The first vote requests are lost.
+	g.isolated[id] = true
+	g.advance(60 * time.Millisecond)
+	g.isolated[id] = false
+	g.advance(200 * time.Millisecond)
 	assert.Assert(t, g.leader() != nil)
 	assert.Equal(t, g.leader().Status().ID, id)
 	assert.Assert(t, g.leader().Status().Commit >= index)
 }
 
-func TestAReturnedLeaderDoesNotDisturbItsSuccessor(t *testing.T) {
+func TestRestartedLeaderDoesNotDisruptSuccessor(t *testing.T) {
 	g := newGroup(t, 1, 2, 3)
-	g.pass(4 * time.Second)
+	g.advance(4 * time.Second)
 	id := g.leader().Status().ID
-	g.cut[id] = true
-	g.pass(4 * time.Second)
+	g.isolated[id] = true
+	g.advance(4 * time.Second)
 	successor := g.leader()
 	term := successor.Status().Term
-	g.cut[id] = false
+	g.isolated[id] = false
 	g.restart(id)
 	for range 50 {
-		g.pass(20 * time.Millisecond)
+		g.advance(20 * time.Millisecond)
 		assert.Equal(t, g.leader(), successor)
 	}
 	assert.Equal(t, successor.Status().Term, term)
 }
 
-// A node that only stood for election in its term knows nothing of the lease of
-// the one that won.
-func TestAReturnedCandidateWaits(t *testing.T) {
+// A node that was only a candidate in its term must not campaign at once, since another node may
+// have won and hold a lease.
+func TestRestartedCandidateWaits(t *testing.T) {
 	g := newGroup(t, 1, 2, 3)
-	g.pass(4 * time.Second)
+	g.advance(4 * time.Second)
 	leader := g.leader()
 	other := g.nodes[leader.Status().ID%3+1]
 	other.hard.Vote, other.saved.Vote = other.config.ID, other.config.ID
 	returned := g.restart(other.config.ID)
-	g.pass(20 * time.Millisecond)
+	g.advance(20 * time.Millisecond)
 	assert.Equal(t, returned.Role(), Follower)
 	assert.Equal(t, g.leader(), leader)
 }
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-func timeOf(nanoseconds int64) time.Duration { return time.Duration(nanoseconds) }
+func toDuration(nanoseconds int64) time.Duration { return time.Duration(nanoseconds) }
 
-// Step handles a message from another member. Messages may be lost, doubled,
-// late or out of order.
+// Step handles a message from another member. Messages may be lost, duplicated, delayed or
+// reordered.
 func (n *Node) Step(now time.Duration, m Message) {
 	n.advanceClock(now)
 	if m.To != n.config.ID || m.From == n.config.ID {
@@ -19,27 +19,27 @@
 		return
 	}
 	if m.Type == MessagePreVoteReply && !m.Reject {
-		// A granted pre-vote carries the term that was asked for, one above.
+		// A granted pre-vote has the term of the request, which is one above the node's own.
 		if n.role == PreCandidate && m.Term == n.hard.Term+1 {
-			n.countVote(m.From, true)
+			n.recordVote(m.From, true)
 		}
 		return
 	}
-	if m.Type == MessageVote && !m.Transfer && n.leaderIsAlive() {
+	if m.Type == MessageVote && !m.Transfer && n.hasRecentLeader() {
 		return
 	}
 	if m.Term > n.hard.Term {
 		n.becomeFollower(m.Term, 0)
 	}
 	if m.Term < n.hard.Term {
-		n.refuseStale(m)
+		n.rejectStale(m)
 		return
 	}
 	n.dispatch(m)
 }
 
-// refuseStale tells a leader of an earlier term that its time is over.
-func (n *Node) refuseStale(m Message) {
+// rejectStale rejects messages of a leader of an earlier term, so that it steps down.
+func (n *Node) rejectStale(m Message) {
 	switch m.Type {
 	case MessageAppend, MessageHeartbeat, MessageInstallSnapshot:
 		n.send(Message{Type: MessageAppendReply, To: m.From, Reject: true, Hint: n.log.last()})
@@ -50,13 +50,13 @@
 	switch m.Type {
 	case MessagePreVoteReply:
 		if n.role == PreCandidate {
-			n.countVote(m.From, false)
+			n.recordVote(m.From, false)
 		}
 	case MessageVote:
 		n.handleVote(m)
 	case MessageVoteReply:
 		if n.role == Candidate {
-			n.countVote(m.From, !m.Reject)
+			n.recordVote(m.From, !m.Reject)
 		}
 	case MessageAppend:
 		n.follow(m)
@@ -73,25 +73,25 @@
 		n.handleHeartbeatReply(m)
 	case MessageTimeoutNow:
 		if n.members.IsVoter(n.config.ID) && n.role == Follower {
-			n.campaign(handover)
+			n.campaign(leadershipTransfer)
 		}
 	}
 }
 
-// follow accepts the sender as the leader of the present term.
+// follow accepts the sender as the leader of the current term.
 func (n *Node) follow(m Message) {
 	if n.role != Follower || n.leader != m.From {
 		n.becomeFollower(m.Term, m.From)
 	}
-	n.leaderHeard = n.now
+	n.leaderContact = n.now
 	n.resetElection()
 }
 
 func (n *Node) handleAppend(m Message) {
 	reply := Message{Type: MessageAppendReply, To: m.From, SentAt: m.SentAt}
 	if m.Index < n.log.commit {
-		// The leader is behind on what this node holds: all up to the commit
-		// index matches any leader's log.
+		// The leader's view of this node is stale. The log up to the commit index matches
+		// that of any leader.
 		reply.Index = n.log.commit
 		n.send(reply)
 		return
@@ -114,14 +114,14 @@
 	if len(entries) == 0 {
 		return
 	}
-	n.dropMemberships(entries[0].Index, before)
+	n.revertMemberships(entries[0].Index, before)
 	for _, e := range entries {
-		n.noteMembership(e)
+		n.applyMembership(e)
 	}
 }
 
-// handleHeartbeat takes over the commit index. A leader never sends one above
-// what the follower has matched.
+// handleHeartbeat adopts the leader's commit index. A leader never sends one above the index up
+// to which the follower's log matches.
 func (n *Node) handleHeartbeat(m Message) {
 	n.log.commit = max(n.log.commit, min(m.Commit, n.log.last()))
 	n.send(Message{Type: MessageHeartbeatReply, To: m.From, SentAt: m.SentAt, Index: n.log.last()})
@@ -137,7 +137,7 @@
 	}
 	n.log.restore(s.Index, s.Term)
 	n.members = s.Membership.Clone()
-	n.changes = []membershipAt{{index: s.Index, members: n.members}}
+	n.memberships = []membershipAt{{index: s.Index, members: n.members}}
 	n.snapshot, n.pendingSnapshot = s, s
 	reply.Index = s.Index
 	n.send(reply)
@@ -155,7 +155,8 @@
 	}
 }
 
-// sendAppend sends the member what it lacks, as far as flow control allows.
+// sendAppend sends the next entries to the member, or a snapshot if the log no longer has them,
+// as far as flow control allows.
 func (n *Node) sendAppend(id uint64) {
 	p := n.progress[id]
 	if p.snapshotAt != 0 || p.inflight >= maxInflightMessages || (p.probing && p.inflight > 0) {
@@ -188,7 +189,7 @@
 }
 
 func (n *Node) handleAppendReply(m Message) {
-	p := n.heardFrom(m)
+	p := n.recordReply(m)
 	if p == nil {
 		return
 	}
@@ -218,11 +219,11 @@
 }
 
 func (n *Node) handleHeartbeatReply(m Message) {
-	p := n.heardFrom(m)
+	p := n.recordReply(m)
 	if p == nil || p.snapshotAt != 0 {
 		return
 	}
-	// A follower that answers heartbeats but lacks entries lost a message.
+	// A follower that replies to heartbeats but lacks entries has lost a message.
 	if p.match < n.log.last() && n.now >= p.resendAt {
 		p.probing, p.inflight = true, 0
 		p.next = p.match + 1
@@ -230,8 +231,9 @@
 	}
 }
 
-// heardFrom notes that a member answered this leader.
-func (n *Node) heardFrom(m Message) *progress {
+// recordReply records a reply to this leader and returns the member's progress, or nil if the node
+// is not the leader or the sender is not a member.
+func (n *Node) recordReply(m Message) *progress {
 	if n.role != Leader {
 		return nil
 	}
@@ -239,15 +241,15 @@
 	if !known {
 		return nil
 	}
-	p.heard = n.now
+	p.active = n.now
 	if !m.Reject {
-		p.echoed = max(p.echoed, m.SentAt)
+		p.ackedSentAt = max(p.ackedSentAt, m.SentAt)
 	}
 	return p
 }
 
-// maybeCommit commits the highest entry of this term that a majority has
-// durable. Entries of earlier terms are committed with it, never alone.
+// maybeCommit commits the highest entry of the current term that is durable on a majority. Entries
+// of earlier terms are committed with it, never alone.
 func (n *Node) maybeCommit() {
 	matches := make([]uint64, 0, len(n.members.Voters))
 	for _, id := range n.members.Voters {
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -1,11 +1,11 @@
-// Package raft is the consensus core of the control group: leader election
-// with pre-vote and quorum check, log replication, a leader lease, learners,
-// single-server membership change and snapshots.
+// Package raft implements Raft for the control group: leader election with pre-vote and quorum
+// check, log replication, a leader lease, learners, single-server membership changes and
+// snapshots.
 //
-// The core is free of I/O. The caller drives a Node with Tick, Step and
-// Propose, takes the work from Ready, makes it durable, sends the messages and
-// calls Advance. Time is an argument: a reading of the caller's own monotonic
-// clock, which must go on while the process is stopped.
+// The package does no I/O. The caller drives a Node with Tick, Step and Propose, takes the work
+// from Ready, makes it durable, sends the messages and calls Advance. Time is an argument: a
+// reading of the caller's monotonic clock, which must advance while the process or the machine
+// is suspended.
 //
 // A Node is not safe for concurrent use.
 package raft
@@ -18,8 +18,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors that Propose and ProposeChange return. In each case nothing was
-// appended.
+// Errors of Propose, ProposeChange and TransferLeadership. Nothing was appended in each case.
 var (
 	// ErrNotLeader is returned by a node that is not the leader.
 	ErrNotLeader = errors.New("this node is not the leader")
@@ -28,24 +27,24 @@
 	ErrChangePending = errors.New("a membership change is pending")
 	// ErrNotCaughtUp is returned when a learner is promoted too early.
 	ErrNotCaughtUp = errors.New("the learner has not caught up")
-	// ErrUnknownMember is returned for a change to a member that is not there.
+	// ErrUnknownMember is returned if the ID is not that of a member of the required kind.
 	ErrUnknownMember = errors.New("no such member")
 	// ErrLastVoter is returned when the last voter would be removed.
 	ErrLastVoter = errors.New("the last voter cannot be removed")
-	// ErrTooManyUncommitted is returned when too many entries wait for commitment.
-	ErrTooManyUncommitted = errors.New("too many entries wait for commitment")
+	// ErrTooManyUncommitted is returned while too many entries are uncommitted.
+	ErrTooManyUncommitted = errors.New("too many uncommitted entries")
 )
 
-// EntryKind tells what an entry's data is.
+// EntryKind is the kind of an entry's data.
 type EntryKind string
 
 // The kinds of entries.
 const (
 	// EntryCommand holds a command of the state machine.
 	EntryCommand EntryKind = "command"
-	// EntryNoOp is what a new leader appends to commit earlier terms.
+	// EntryNoOp has no data. A new leader appends it to commit entries of earlier terms.
 	EntryNoOp EntryKind = "noop"
-	// EntryMembership holds a Membership, in force from when it is appended.
+	// EntryMembership holds a Membership, which is in force as soon as it is appended.
 	EntryMembership EntryKind = "membership"
 )
 
@@ -57,14 +56,16 @@
 	Data  json.RawMessage `json:"data,omitempty"`
 }
 
-// HardState is what a node must never forget. It is durable before any message
-// that depends on it leaves.
+// HardState is the state that a node must not lose. It is made durable before any message that
+// depends on it is sent.
 type HardState struct {
-	Term   uint64 `json:"term"`
-	Vote   uint64 `json:"vote"`
+	Term uint64 `json:"term"`
+	// Vote is the member that got the node's vote in Term, 0 for none.
+	Vote uint64 `json:"vote"`
+	// Commit is the commit index.
 	Commit uint64 `json:"commit"`
-	// LedTerm is the last term that the node led. A vote for itself would not do in
-	// its place: another may have won that term.
+	// LedTerm is the last term that the node led. A vote for itself does not show that, since
+	// another member may have won the term.
 	LedTerm uint64 `json:"led,omitempty"`
 }
 
@@ -88,24 +89,24 @@
 	return out
 }
 
-// IsVoter tells whether the member votes.
+// IsVoter reports whether the member has a vote.
 func (m Membership) IsVoter(id uint64) bool { return slices.Contains(m.Voters, id) }
 
-// IsLearner tells whether the member follows the log without a vote.
+// IsLearner reports whether the member receives the log without a vote.
 func (m Membership) IsLearner(id uint64) bool { return slices.Contains(m.Learners, id) }
 
-// Members returns voters and learners.
+// Members returns the IDs of voters and learners.
 func (m Membership) Members() []uint64 {
 	return append(slices.Clone(m.Voters), m.Learners...)
 }
 
-// Quorum is the smallest number of voters that is a majority.
+// Quorum returns the number of voters that is needed for a majority.
 func (m Membership) Quorum() int { return len(m.Voters)/2 + 1 }
 
-// ChangeKind names a membership change.
+// ChangeKind is the kind of a membership change.
 type ChangeKind string
 
-// The membership changes.
+// The kinds of membership changes.
 const (
 	AddLearner   ChangeKind = "add-learner"
 	Promote      ChangeKind = "promote"
@@ -127,10 +128,10 @@
 	Data       json.RawMessage `json:"data,omitempty"`
 }
 
-// MessageType names a message between members.
+// MessageType is the type of a message between members.
 type MessageType string
 
-// The messages between members.
+// The types of messages between members.
 const (
 	MessagePreVote         MessageType = "prevote"
 	MessagePreVoteReply    MessageType = "prevote-reply"
@@ -141,20 +142,19 @@
 	MessageHeartbeat       MessageType = "heartbeat"
 	MessageHeartbeatReply  MessageType = "heartbeat-reply"
 	MessageInstallSnapshot MessageType = "snapshot"
-	// MessageTimeoutNow tells the receiver to start an election at once, for a
-	// planned hand-over.
+	// MessageTimeoutNow requests the receiver to campaign at once, to transfer the leadership.
 	MessageTimeoutNow MessageType = "timeout-now"
 )
 
-// Message is what members send each other. Which fields are set depends on
-// the type.
+// Message is a message between members. Which fields are set depends on the type.
 type Message struct {
 	Type MessageType `json:"type"`
 	From uint64      `json:"from"`
 	To   uint64      `json:"to"`
 	Term uint64      `json:"term"`
-	// Index and LogTerm name the entry before Entries, a candidate's last
-	// entry, or the last entry that an append reply matches.
+	// Index and LogTerm identify the entry before Entries or a candidate's last entry. In an
+	// append reply, Index is the last entry up to which the logs match or, if rejected, that of
+	// the request.
 	Index   uint64  `json:"index,omitempty"`
 	LogTerm uint64  `json:"log_term,omitempty"`
 	Entries []Entry `json:"entries,omitempty"`
@@ -162,16 +162,16 @@
 	Reject  bool    `json:"reject,omitempty"`
 	// Hint is the follower's last index in a rejected append reply.
 	Hint uint64 `json:"hint,omitempty"`
-	// SentAt is the leader's clock when it sent a heartbeat or append. Replies
-	// echo it. Only the leader that set it reads it.
+	// SentAt is the leader's clock when it sent a message. Replies repeat it, and only the
+	// leader that set it uses it.
 	SentAt time.Duration `json:"sent,omitempty"`
-	// Transfer says that no lease is running that the voter must mind: the
-	// leader hands over, or it is the candidate itself after a new start.
+	// Transfer is set in a vote request if no lease can be in force: the leader transfers the
+	// leadership, or the candidate is the former leader after a restart.
 	Transfer bool      `json:"transfer,omitempty"`
 	Snapshot *Snapshot `json:"snapshot,omitempty"`
 }
 
-// Role is a node's part in the present term.
+// Role is a node's role in the current term.
 type Role string
 
 // The roles of a node.
@@ -182,23 +182,23 @@
 	Leader       Role = "leader"
 )
 
-// Ready is work for the caller, to be done in this order: make HardState,
-// Snapshot and Entries durable; send Messages; apply Snapshot and Committed;
-// call Advance.
+// Ready is work for the caller, to be done in this order: make HardState, Snapshot and Entries
+// durable; send Messages; apply Snapshot and Committed; call Advance.
 type Ready struct {
-	// HardState is nil when it has not changed.
+	// HardState is nil if it need not be saved.
 	HardState *HardState
-	// Snapshot is nil unless one was received and replaces the log.
+	// Snapshot is a received snapshot that replaces the log, or nil.
 	Snapshot *Snapshot
-	// Entries are to be appended. They replace stored entries of the same or a
-	// higher index.
+	// Entries are to be appended to the stored log. They replace stored entries of the same
+	// or a higher index.
 	Entries []Entry
-	// Committed are to be applied, in order.
+	// Committed are the entries to apply, in order.
 	Committed []Entry
 	Messages  []Message
 }
 
-// Status is a view of a node for people and metrics.
+// Status is a view of a node for operators and metrics. Match and SinceContact are set on the
+// leader only and are keyed by member ID.
 type Status struct {
 	ID           uint64                    `json:"id"`
 	Role         Role                      `json:"role"`
@@ -213,5 +213,5 @@
 	SinceContact map[uint64]ElapsedSeconds `json:"contact,omitempty"`
 }
 
-// ElapsedSeconds is a time since an event, in seconds in JSON.
+// ElapsedSeconds is the time since an event, in seconds.
 type ElapsedSeconds float64
