--- a/internal/storage/file.go
+++ b/internal/storage/file.go
@@ -5,7 +5,7 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// File is a small file that is replaced whole and durably.
+// File is a small file whose content is replaced atomically and durably.
 type File struct {
 	fs      vfs.FS
 	dir     string
@@ -13,10 +13,10 @@
 	content []byte
 }
 
-// OpenFile reads a file of the folder, creating the folder if needed. A file
-// that is not there is empty.
+// OpenFile reads a file of the directory dir, which it creates if needed. A file that does not
+// exist is treated as empty.
 func OpenFile(fs vfs.FS, dir, name string) (*File, error) {
-	if err := makeFolder(fs, dir); err != nil {
+	if err := makeDir(fs, dir); err != nil {
 		return nil, err
 	}
 	content, err := readFile(fs, fs.PathJoin(dir, name))
@@ -26,11 +26,11 @@
 	return &File{fs: fs, dir: dir, name: name, content: content}, nil
 }
 
-// Content returns what the file held when it was opened.
+// Content returns the content of the file when it was opened.
 func (f *File) Content() []byte { return f.content }
 
-// Replace makes new content durable. After a crash the file holds the old or
-// the new content, never a mixture.
+// Replace writes new content durably. After a crash the file has either the old or the new
+// content.
 func (f *File) Replace(content []byte) error {
 	file, err := replaceFile(f.fs, f.dir, f.name, content)
 	if err != nil {
--- a/internal/storage/level_test.go
+++ b/internal/storage/level_test.go
@@ -11,8 +11,9 @@
 	"quinceridge.example/quinceridge/internal/raft"
 )
 
-// levelFolder is what a build wrote: a snapshot at entry 3 and entries 4 to 6 of two terms.
-func levelFolder(level string) string { return filepath.Join("testdata", "level-"+level) }
+// levelDir returns the directory that a build of the given level wrote. It has a snapshot at
+// index 3 and entries 4 to 6 of two terms.
+func levelDir(level string) string { return filepath.Join("testdata", "level-"+level) }
 
 func writeLevel(t *testing.T, dir string) {
 	s, _, err := Open(vfs.Default, dir)
@@ -24,15 +25,15 @@
 	assert.NilError(t, s.Close())
 }
 
-// A build reads what those before it left on disk. The folders of levels that have landed
-// stay as they are; that of a new one is written with WRITE_LEVEL_FOLDER=N.
-func TestFoldersOfAllLevelsAreRead(t *testing.T) {
+// A build must read the files of all earlier levels. WRITE_LEVEL_FOLDER=N writes the directory of
+// a new level N; those of released levels must not change.
+func TestReadDirectoriesOfAllLevels(t *testing.T) {
 	if level := os.Getenv("WRITE_LEVEL_FOLDER"); level != "" {
-		writeLevel(t, levelFolder(level))
+		writeLevel(t, levelDir(level))
 	}
 	for _, level := range []string{"1", "2"} {
 		dir := t.TempDir()
-		assert.NilError(t, os.CopyFS(dir, os.DirFS(levelFolder(level))))
+		assert.NilError(t, os.CopyFS(dir, os.DirFS(levelDir(level))))
 		s, stored, err := Open(vfs.Default, dir)
 		assert.NilError(t, err, "level %s", level)
 		assert.DeepEqual(t, stored.HardState, raft.HardState{Term: 3, Vote: 8, Commit: 5, LedTerm: 2})
--- a/internal/storage/lines.go
+++ b/internal/storage/lines.go
@@ -10,17 +10,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// checksumDigits is the length of the checksum before each line's JSON text.
+// checksumDigits is the number of hex digits of the checksum before the JSON text of each line.
 const checksumDigits = 8
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// encode appends one checked line to lines.
-func encode(lines []byte, value any) []byte {
+// appendLine appends the checksum and JSON text of a value as a line.
+func appendLine(lines []byte, value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
-		// Records are made of plain structs; only invalid raw JSON fails here,
-		// and proposals are checked before they reach the log.
+		// Only invalid raw JSON can fail here, and proposals are validated before they are
+		// appended to the log.
 		panic(errors.Wrap(err, "encode record"))
 	}
 	lines = fmt.Appendf(lines, "%08x ", crc32.Checksum(text, castagnoli))
@@ -28,54 +28,54 @@
 	return append(lines, '\n')
 }
 
-// decodeLog reads the records of a log file. A last batch that a crash left
-// unfinished was never acknowledged and is dropped whole; torn is the length of
-// what cannot be read of it. A hole in an earlier batch is ErrDamaged.
+// decodeLog decodes the records of a log file. A last batch that a crash left incomplete was never
+// acknowledged and is dropped. Torn is the number of bytes from its first damaged record on. A
+// damaged record in an earlier batch gives ErrCorrupt.
 func decodeLog(data []byte) (records []record, torn int, err error) {
 	for len(data) > 0 {
-		line, rest, whole := bytes.Cut(data, []byte{'\n'})
+		line, rest, complete := bytes.Cut(data, []byte{'\n'})
 		var r record
-		if whole && decodeLine(line, &r) {
+		if complete && decodeLine(line, &r) {
 			records = append(records, r)
 			data = rest
 			continue
 		}
-		if laterBatch(rest, records) {
+		if hasLaterBatch(rest, records) {
 			return records, len(data), errors.Wrapf(ErrCorrupt, "record %d", len(records)+1)
 		}
-		return wholeBatches(records), len(data), nil
+		return completeBatches(records), len(data), nil
 	}
-	return wholeBatches(records), 0, nil
+	return completeBatches(records), 0, nil
 }
 
-// wholeBatches drops the records of a last batch that lacks some.
-func wholeBatches(records []record) []record {
+// completeBatches returns the records without those of an incomplete last batch.
+func completeBatches(records []record) []record {
 	count := len(records)
-	if count == 0 || records[count-1].Left == 0 {
+	if count == 0 || records[count-1].Remaining == 0 {
 		return records
 	}
-	unfinished := records[count-1].Batch
-	for count > 0 && records[count-1].Batch == unfinished {
+	incomplete := records[count-1].Batch
+	for count > 0 && records[count-1].Batch == incomplete {
 		count--
 	}
 	return records[:count]
 }
 
-// laterBatch tells whether any sound line of data belongs to a batch after the
-// one that has a hole behind the given records.
-func laterBatch(data []byte, before []record) bool {
-	holed := uint64(1)
+// hasLaterBatch reports whether data has a valid record of a batch after the damaged one, which is
+// the batch that follows or continues the records before.
+func hasLaterBatch(data []byte, before []record) bool {
+	damagedBatch := uint64(1)
 	if count := len(before); count > 0 {
 		last := before[count-1]
-		holed = last.Batch
-		if last.Left == 0 {
-			holed++
+		damagedBatch = last.Batch
+		if last.Remaining == 0 {
+			damagedBatch++
 		}
 	}
 	for len(data) > 0 {
-		line, rest, whole := bytes.Cut(data, []byte{'\n'})
+		line, rest, complete := bytes.Cut(data, []byte{'\n'})
 		var r record
-		if whole && decodeLine(line, &r) && r.Batch > holed {
+		if complete && decodeLine(line, &r) && r.Batch > damagedBatch {
 			return true
 		}
 		data = rest
@@ -84,12 +84,12 @@
 }
 
 func decodeLine(line []byte, value any) bool {
-	text := checked(line)
+	text := verifyLine(line)
 	return text != nil && json.Unmarshal(text, value) == nil
 }
 
-// checked returns the JSON text of a line whose checksum is right, else nil.
-func checked(line []byte) []byte {
+// verifyLine returns the JSON text of a line, or nil if its checksum does not match.
+func verifyLine(line []byte) []byte {
 	if len(line) < checksumDigits+2 || line[checksumDigits] != ' ' {
 		return nil
 	}
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,11 +1,9 @@
-// Package storage keeps a consensus node's hard state, log and snapshots under
-// one data folder.
+// Package storage stores a consensus node's hard state, log and snapshots in a data directory.
 //
-// The log is a file of JSON lines, each preceded by its CRC. A record counts
-// only once the file was synced. At start, a damaged record at the very end is
-// a write that a crash cut short: it was never acknowledged and is dropped. A
-// damaged record with sound ones after it is a fault of the disk, and the node
-// refuses to start.
+// The log is a file of JSON lines, each preceded by its CRC-32C. Records are acknowledged only
+// after the file was synced. A damaged record in the last batch is therefore taken for a write
+// that a crash interrupted, and the batch is dropped. A damaged record before a later batch is
+// a disk fault: Open fails with ErrCorrupt.
 package storage
 
 import (
@@ -19,81 +17,79 @@
 	"quinceridge.example/quinceridge/internal/raft"
 )
 
-// File names in the data folder.
+// File names in the data directory.
 const (
 	logName      = "log.jsonl"
 	snapshotName = "snapshot.jsonl"
-	newSuffix    = ".new"
+	tempSuffix   = ".new"
 )
 
-// ErrCorrupt is returned when a file holds a record that was synced and cannot
-// be read any more. The node must be replaced, not restarted.
-var ErrCorrupt = errors.New("stored state is damaged")
+// ErrCorrupt is returned if synced records are damaged or missing. The node must be replaced, not
+// restarted.
+var ErrCorrupt = errors.New("stored state is corrupt")
 
 // record is one line of the log file. Exactly one of Hard and Entry is set.
 //
-// Records that are written and synced together are a batch. A crash may keep
-// any part of the last batch, so its holes are no damage; a hole that a later
-// batch follows is.
+// Records that are written and synced together form a batch. After a crash any part of the last
+// batch may be missing, but no part of an earlier one.
 type record struct {
 	Batch uint64 `json:"batch"`
-	// Left is how many records of the batch follow.
-	Left  int             `json:"left,omitempty"`
-	Hard  *raft.HardState `json:"hard,omitempty"`
-	Entry *raft.Entry     `json:"entry,omitempty"`
+	// Remaining is the number of records of the batch that follow.
+	Remaining int             `json:"left,omitempty"`
+	Hard      *raft.HardState `json:"hard,omitempty"`
+	Entry     *raft.Entry     `json:"entry,omitempty"`
 }
 
-// batch encodes the records of one write.
-func (s *Storage) batch(hard *raft.HardState, entries []raft.Entry) []byte {
+// encodeBatch encodes the hard state and entries as the next batch.
+func (s *Storage) encodeBatch(hard *raft.HardState, entries []raft.Entry) []byte {
 	if hard == nil && len(entries) == 0 {
 		return nil
 	}
 	var lines []byte
 	s.batches++
-	left := len(entries)
+	remaining := len(entries)
 	if hard != nil {
-		lines = encode(lines, record{Batch: s.batches, Left: left, Hard: hard})
+		lines = appendLine(lines, record{Batch: s.batches, Remaining: remaining, Hard: hard})
 	}
 	for i := range entries {
-		left--
-		lines = encode(lines, record{Batch: s.batches, Left: left, Entry: &entries[i]})
+		remaining--
+		lines = appendLine(lines, record{Batch: s.batches, Remaining: remaining, Entry: &entries[i]})
 	}
 	return lines
 }
 
-// Storage is an open data folder. It is not safe for concurrent use.
+// Storage is an open data directory. It is not safe for concurrent use.
 type Storage struct {
 	fs     vfs.FS
 	dir    string
 	log    vfs.File
 	failed error
-	// batches counts the batches of the present log file.
+	// batches is the number of batches in the log file.
 	batches uint64
-	// Syncs and Bytes count what was made durable, for metrics.
+	// Syncs and Bytes count the file syncs and the bytes written, for metrics.
 	Syncs uint64
 	Bytes uint64
 }
 
-// Open reads the folder, creating it if needed, and returns what it held.
+// Open opens a data directory, creating it if needed, and returns the state stored in it.
 func Open(fs vfs.FS, dir string) (*Storage, raft.StoredState, error) {
 	s := &Storage{fs: fs, dir: dir}
-	if err := makeFolder(fs, dir); err != nil {
+	if err := makeDir(fs, dir); err != nil {
 		return nil, raft.StoredState{}, err
 	}
 	stored, _, err := Read(fs, dir)
 	if err != nil {
 		return nil, raft.StoredState{}, err
 	}
-	// The log is rewritten at each start: it drops a torn tail, and leaves a
-	// file whose every record is synced.
+	// Rewriting the log drops a torn tail and makes sure that every record is synced.
 	if err := s.rewrite(stored.HardState, stored.Entries); err != nil {
 		return nil, raft.StoredState{}, err
 	}
 	return s, stored, nil
 }
 
-// Read returns what a data folder holds, without changing it. Torn is the
-// number of bytes of an unfinished last record.
+// Read returns the state stored in a data directory without changing it. Torn is the number of
+// bytes at the end of the log that could not be decoded.
 func Read(fs vfs.FS, dir string) (stored raft.StoredState, torn int, err error) {
 	snapshot, err := readSnapshot(fs, fs.PathJoin(dir, snapshotName))
 	if err != nil {
@@ -126,27 +122,26 @@
 			stored.HardState = *r.Hard
 		}
 		if r.Entry != nil {
-			entries = place(entries, *r.Entry)
+			entries = placeEntry(entries, *r.Entry)
 		}
 	}
-	entries = after(entries, stored.Snapshot)
+	entries = entriesAfter(entries, stored.Snapshot)
 	for i := range entries {
 		if entries[i].Index != offset+1+uint64(i) {
-			return errors.Wrapf(ErrCorrupt, "entry %d stands where entry %d should", entries[i].Index, offset+1+uint64(i))
+			return errors.Wrapf(ErrCorrupt, "found entry %d, want entry %d", entries[i].Index, offset+1+uint64(i))
 		}
 	}
 	last := offset + uint64(len(entries))
 	if stored.HardState.Commit > last {
-		return errors.Wrapf(ErrCorrupt, "entry %d was committed and the log ends at %d", stored.HardState.Commit, last)
+		return errors.Wrapf(ErrCorrupt, "entry %d was committed but the log ends at %d", stored.HardState.Commit, last)
 	}
 	stored.Entries = entries
 	return nil
 }
 
-// after returns the entries that follow the snapshot. When the log holds
-// another entry at the snapshot's index, all of it is from before the snapshot
-// was received, and none of it counts.
-func after(entries []raft.Entry, snapshot *raft.Snapshot) []raft.Entry {
+// entriesAfter returns the entries that follow the snapshot. If the log has an entry of another
+// term at the snapshot's index, the whole log predates the received snapshot and is dropped.
+func entriesAfter(entries []raft.Entry, snapshot *raft.Snapshot) []raft.Entry {
 	if snapshot == nil {
 		return entries
 	}
@@ -162,8 +157,8 @@
 	return kept
 }
 
-// place puts an entry at its index, replacing that entry and all after it.
-func place(entries []raft.Entry, e raft.Entry) []raft.Entry {
+// placeEntry puts an entry at its index, and drops the entry that was there and all later ones.
+func placeEntry(entries []raft.Entry, e raft.Entry) []raft.Entry {
 	if len(entries) == 0 {
 		return append(entries, e)
 	}
@@ -174,8 +169,8 @@
 	return append(entries[:min(e.Index-first, uint64(len(entries)))], e)
 }
 
-// Save makes the durable part of r durable. After an error the storage takes
-// no more writes: what reached the disk is unknown until the next start.
+// Save makes the HardState, Snapshot and Entries of r durable. After an error all further writes
+// fail with the same error, since the content of the disk is unknown.
 func (s *Storage) Save(r raft.Ready) error {
 	if s.failed != nil {
 		return s.failed
@@ -186,14 +181,14 @@
 
 func (s *Storage) save(r raft.Ready) error {
 	if r.Snapshot != nil {
-		// A received snapshot replaces the whole log. A crash between the two
-		// writes leaves old entries behind; replay drops them.
+		// A received snapshot replaces the whole log. If a crash between the two writes
+		// leaves old entries behind, replay drops them.
 		if err := s.writeSnapshot(r.Snapshot); err != nil {
 			return err
 		}
 		return s.rewrite(*r.HardState, r.Entries)
 	}
-	lines := s.batch(r.HardState, r.Entries)
+	lines := s.encodeBatch(r.HardState, r.Entries)
 	if len(lines) == 0 {
 		return nil
 	}
@@ -212,8 +207,8 @@
 	return nil
 }
 
-// SaveSnapshot makes a snapshot durable and then shortens the log to the given
-// entries, which follow the snapshot or overlap it.
+// SaveSnapshot makes a snapshot durable and then replaces the log with the given entries, which
+// follow the snapshot or overlap it.
 func (s *Storage) SaveSnapshot(snapshot *raft.Snapshot, hard raft.HardState, entries []raft.Entry) error {
 	if s.failed != nil {
 		return s.failed
@@ -225,10 +220,10 @@
 	return s.failed
 }
 
-// rewrite replaces the log file by one that holds just these records.
+// rewrite replaces the log file with one that has only these records.
 func (s *Storage) rewrite(hard raft.HardState, entries []raft.Entry) error {
 	s.batches = 0
-	file, err := s.replace(logName, s.batch(&hard, entries))
+	file, err := s.replace(logName, s.encodeBatch(&hard, entries))
 	if err != nil {
 		return err
 	}
@@ -242,14 +237,14 @@
 }
 
 func (s *Storage) writeSnapshot(snapshot *raft.Snapshot) error {
-	file, err := s.replace(snapshotName, encode(nil, snapshot))
+	file, err := s.replace(snapshotName, appendLine(nil, snapshot))
 	if err != nil {
 		return err
 	}
 	return errors.Wrap(file.Close(), "close snapshot")
 }
 
-// replace writes a file of the folder anew.
+// replace replaces a file of the data directory and counts the syncs and bytes.
 func (s *Storage) replace(name string, data []byte) (vfs.File, error) {
 	file, err := replaceFile(s.fs, s.dir, name, data)
 	if err != nil {
@@ -260,11 +255,11 @@
 	return file, nil
 }
 
-// replaceFile writes a new file, syncs it, gives it its name and syncs the
-// folder. The returned file is open at its end.
+// replaceFile replaces a file atomically: it writes and syncs a temporary file, renames it and
+// syncs the directory. It returns the file, open for appending.
 func replaceFile(fs vfs.FS, dir, name string, data []byte) (vfs.File, error) {
 	path := fs.PathJoin(dir, name)
-	file, err := fs.Create(path+newSuffix, vfs.WriteCategoryUnspecified)
+	file, err := fs.Create(path+tempSuffix, vfs.WriteCategoryUnspecified)
 	if err != nil {
 		return nil, errors.Wrapf(err, "create %s", name)
 	}
@@ -274,30 +269,30 @@
 	if err := file.Sync(); err != nil {
 		return nil, errors.Wrapf(err, "sync %s", name)
 	}
-	if err := fs.Rename(path+newSuffix, path); err != nil {
+	if err := fs.Rename(path+tempSuffix, path); err != nil {
 		return nil, errors.Wrapf(err, "rename %s", name)
 	}
-	return file, syncFolder(fs, dir)
+	return file, syncDir(fs, dir)
 }
 
-// makeFolder creates the data folder if needed. The parent is synced, or a
-// crash could lose the folder with all that was synced in it.
-func makeFolder(fs vfs.FS, dir string) error {
+// makeDir creates the data directory if needed. It syncs the parent, since a crash could
+// otherwise lose the directory with the files in it.
+func makeDir(fs vfs.FS, dir string) error {
 	if err := fs.MkdirAll(dir, 0o700); err != nil {
-		return errors.Wrap(err, "create data folder")
+		return errors.Wrap(err, "create data directory")
 	}
-	return syncFolder(fs, fs.PathDir(dir))
+	return syncDir(fs, fs.PathDir(dir))
 }
 
-func syncFolder(fs vfs.FS, path string) error {
+func syncDir(fs vfs.FS, path string) error {
 	dir, err := fs.OpenDir(path)
 	if err != nil {
-		return errors.Wrap(err, "open data folder")
+		return errors.Wrap(err, "open data directory")
 	}
 	if err := dir.Sync(); err != nil {
-		return errors.Wrap(err, "sync data folder")
+		return errors.Wrap(err, "sync data directory")
 	}
-	return errors.Wrap(dir.Close(), "close data folder")
+	return errors.Wrap(dir.Close(), "close data directory")
 }
 
 // Close closes the log file.
@@ -336,7 +331,8 @@
 	return data, errors.Wrap(err, "read stored file")
 }
 
-// Describe says in one line what a stored state holds.
+// Describe returns a summary of a stored state as a line of JSON. Torn is the value that Read
+// returned.
 func Describe(stored raft.StoredState, torn int) string {
 	first, last, snapshotAt := uint64(0), uint64(0), uint64(0)
 	if len(stored.Entries) > 0 {
