--- a/internal/membership/pool.go
+++ b/internal/membership/pool.go
@@ -1,6 +1,6 @@
-// Package membership is a router's picture of its back ends: control's list and
-// load reports, joined with what the router's own attempts show. It makes the
-// snapshots that placement decides over.
+// Package membership maintains a router's view of its back ends. It combines the list and the load
+// reports of the control node with the results of the router's own requests, and builds the
+// snapshots that placement works on.
 package membership
 
 import (
@@ -11,21 +11,21 @@
 	"quinceridge.example/quinceridge/internal/scheduling"
 )
 
-// Times of the health rules.
+// Durations of the health checks.
 const (
-	// firstSuspicion is how long an engine is avoided after one failed attempt.
-	// It doubles with each further one up to longestSuspicion.
-	firstSuspicion   = time.Second
-	longestSuspicion = 8 * time.Second
-	// staleReport is the age from which a load report does not count.
-	staleReport = 3 * time.Second
-	// ReportLag is how old a load report already is when control gets it.
+	// initialSuspicion is the time for which a machine is suspect after a failed request. It
+	// doubles with each further failure, up to maxSuspicion.
+	initialSuspicion = time.Second
+	maxSuspicion     = 8 * time.Second
+	// maxReportAge is the age above which a load report is ignored.
+	maxReportAge = 3 * time.Second
+	// ReportLag is the assumed age of a load report when the control node receives it.
 	ReportLag = 250 * time.Millisecond
-	// TypicalServiceTime is the assumed time that a sequence holds a decode slot.
+	// TypicalServiceTime is the assumed time for which a sequence occupies a decode slot.
 	TypicalServiceTime = 700 * time.Millisecond
 )
 
-// dispatch is work that the router sent and that no report counts yet.
+// dispatch is work that the router sent and that no load report includes yet.
 type dispatch struct {
 	at     time.Duration
 	tokens int
@@ -35,23 +35,23 @@
 	machine controlapi.Machine
 	key     uint64
 	load    controlapi.LoadRow
-	// reportedAt is when the load was true, by the router's clock.
-	reportedAt time.Duration
-	reported   bool
-	recent     []dispatch
-	failures   int
-	suspect    time.Duration
-	// drained says that the machine itself refused new work, before control
-	// told.
-	drained bool
+	// reportedAt is the time of the load's measurement, by the router's clock.
+	reportedAt   time.Duration
+	reported     bool
+	unreported   []dispatch // sent after reportedAt
+	failures     int        // since the last success
+	suspectUntil time.Duration
+	// refusedWork is set once the machine itself rejected new work, which may be before the
+	// control node lists it as leaving.
+	refusedWork bool
 }
 
-func (e *entry) leaving() bool { return e.drained || e.machine.Leaving }
+func (e *entry) leaving() bool { return e.refusedWork || e.machine.Leaving }
 
-// Pool holds the back ends. It is safe for concurrent use; time is an
-// argument, so that the simulator runs it too.
+// Pool is the set of known back ends. It is safe for concurrent use. Time is an argument, so that
+// the simulator can use it.
 type Pool struct {
-	// prefillRate is an engine's prompt tokens a second, by model.
+	// prefillRate returns the prompt tokens per second of an engine that serves a model.
 	prefillRate func(model string) float64
 
 	mu      sync.Mutex
@@ -59,12 +59,14 @@
 	entries map[string]*entry
 }
 
-// NewPool returns an empty pool.
+// NewPool returns an empty pool. The prefillRate function returns the prompt tokens per second of
+// an engine that serves a model.
 func NewPool(prefillRate func(model string) float64) *Pool {
 	return &Pool{prefillRate: prefillRate, entries: map[string]*entry{}}
 }
 
-// SetMachines replaces the list.
+// SetMachines replaces the list of machines. The state of a machine is kept if its incarnation is
+// the same.
 func (p *Pool) SetMachines(machines []controlapi.Machine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,7 +79,7 @@
 			e = &entry{key: scheduling.EndpointKey(m.ID)}
 		}
 		if e.machine.Leaving && !m.Leaving {
-			e.drained = false // it is back
+			e.refusedWork = false // the machine is no longer leaving
 		}
 		e.machine = m
 		p.entries[m.ID] = e
@@ -85,7 +87,8 @@
 	}
 }
 
-// SetLoad notes a load report of a machine.
+// SetLoad records a load report of a machine. A report with a negative age is ignored: the machine
+// has never reported its load.
 func (p *Pool) SetLoad(now time.Duration, id string, row controlapi.LoadRow) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,30 +99,32 @@
 	e.load = row
 	e.reported = true
 	e.reportedAt = now - time.Duration(row[controlapi.LoadAge])*time.Millisecond - ReportLag
-	e.forgetCounted()
+	e.dropReported()
 }
 
-// forgetCounted drops work that the report counts already.
-func (e *entry) forgetCounted() {
-	kept := e.recent[:0]
-	for _, d := range e.recent {
+// dropReported drops dispatched work that the last load report includes.
+func (e *entry) dropReported() {
+	kept := e.unreported[:0]
+	for _, d := range e.unreported {
 		if d.at > e.reportedAt {
 			kept = append(kept, d)
 		}
 	}
-	e.recent = kept
+	e.unreported = kept
 }
 
-// RecordDispatch notes that work of so many uncached tokens was sent to a machine.
+// RecordDispatch records that a request with the given number of uncached prompt tokens was sent to
+// a machine.
 func (p *Pool) RecordDispatch(now time.Duration, id string, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e := p.entries[id]; e != nil {
-		e.recent = append(e.recent, dispatch{at: now, tokens: tokens})
+		e.unreported = append(e.unreported, dispatch{at: now, tokens: tokens})
 	}
 }
 
-// RecordFailure notes that an attempt could not reach a machine or lost it.
+// RecordFailure records that a machine could not be reached or that its connection was lost, and
+// makes the machine suspect for a time.
 func (p *Pool) RecordFailure(now time.Duration, id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,31 +132,31 @@
 	if e == nil {
 		return
 	}
-	pause := firstSuspicion << min(e.failures, 3)
+	suspicion := initialSuspicion << min(e.failures, 3)
 	e.failures++
-	e.suspect = now + min(pause, longestSuspicion)
+	e.suspectUntil = now + min(suspicion, maxSuspicion)
 }
 
-// RecordSuccess notes that a machine answered.
+// RecordSuccess records a response of a machine and ends its suspicion.
 func (p *Pool) RecordSuccess(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e := p.entries[id]; e != nil {
-		e.failures, e.suspect = 0, 0
+		e.failures, e.suspectUntil = 0, 0
 	}
 }
 
-// MarkDraining notes that a machine itself refused new work because it is leaving.
+// MarkDraining records that a machine rejected new work because it is leaving.
 func (p *Pool) MarkDraining(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e := p.entries[id]; e != nil {
-		e.drained = true
+		e.refusedWork = true
 	}
 }
 
-// MarkReplaced notes that a machine was found in another incarnation. It is not
-// used until control tells the new one.
+// MarkReplaced records that a machine no longer runs the given incarnation. It is excluded until
+// the control node lists the new one.
 func (p *Pool) MarkReplaced(id, incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,7 +167,7 @@
 	e.machine.Incarnation = ""
 }
 
-// Address returns where a machine is reached.
+// Address returns the address of a machine, or "" if it is not listed.
 func (p *Pool) Address(id string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,7 +177,7 @@
 	return ""
 }
 
-// Snapshot returns the engines as placement sees them at now.
+// Snapshot returns the engines with their estimated waiting times and health at now.
 func (p *Pool) Snapshot(now time.Duration) *scheduling.Snapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -191,7 +196,7 @@
 func (p *Pool) endpoint(now time.Duration, e *entry) scheduling.Endpoint {
 	waiting := e.load[controlapi.LoadPrefillTokens]
 	sequences := e.load[controlapi.LoadRunning] + e.load[controlapi.LoadWaiting]
-	for _, d := range e.recent {
+	for _, d := range e.unreported {
 		waiting += d.tokens
 		sequences++
 	}
@@ -216,9 +221,9 @@
 	switch {
 	case e.leaving():
 		return scheduling.Leaving
-	case now < e.suspect || !e.reported || now-e.reportedAt > staleReport:
-		// An engine whose load is not known, such as one of a zone that the
-		// control node does not watch, serves only when no other can.
+	case now < e.suspectUntil || !e.reported || now-e.reportedAt > maxReportAge:
+		// An engine without a recent load report, such as one in a zone that the control
+		// node does not cover, is used only if no other can serve.
 		return scheduling.Suspect
 	}
 	return scheduling.Live
@@ -232,7 +237,7 @@
 	Suspect bool
 }
 
-// Applications returns the application workers that take new work.
+// Applications returns the application workers that accept new work.
 func (p *Pool) Applications(now time.Duration) []Application {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -242,7 +247,7 @@
 		if e.machine.Role != controlapi.RoleApplication || e.leaving() {
 			continue
 		}
-		out = append(out, Application{ID: id, Address: e.machine.Address, Zone: e.machine.Zone, Suspect: now < e.suspect})
+		out = append(out, Application{ID: id, Address: e.machine.Address, Zone: e.machine.Zone, Suspect: now < e.suspectUntil})
 	}
 	return out
 }
--- a/internal/membership/pool_test.go
+++ b/internal/membership/pool_test.go
@@ -27,43 +27,43 @@
 	return p.Snapshot(now).Endpoints[0].State
 }
 
-func TestOwnWorkCountsUntilAReportDoes(t *testing.T) {
+func TestDispatchedWorkCountsUntilReported(t *testing.T) {
 	p := newPool(machine("e", "one", false))
 	p.RecordDispatch(time.Second, "e", 500)
 	assert.Equal(t, p.Snapshot(time.Second).Endpoints[0].Wait, 500*time.Millisecond)
-	// A report of what was true before the work was sent does not count it.
+	// A report that was measured before the work was sent does not include it.
 	p.SetLoad(1200*time.Millisecond, "e", controlapi.LoadRow{})
 	assert.Equal(t, p.Snapshot(1200 * time.Millisecond).Endpoints[0].Wait, 500*time.Millisecond)
 	p.SetLoad(2*time.Second, "e", controlapi.LoadRow{controlapi.LoadPrefillTokens: 100})
 	assert.Equal(t, p.Snapshot(2 * time.Second).Endpoints[0].Wait, 100*time.Millisecond)
 }
 
-func TestSuspicionGrowsAndEnds(t *testing.T) {
+func TestSuspicionDoublesAndExpires(t *testing.T) {
 	p := newPool(machine("e", "one", false))
 	assert.Equal(t, state(p, 0), scheduling.Live)
 	p.RecordFailure(0, "e")
-	assert.Equal(t, state(p, firstSuspicion-1), scheduling.Suspect)
-	assert.Equal(t, state(p, firstSuspicion), scheduling.Live)
-	p.RecordFailure(firstSuspicion, "e")
-	assert.Equal(t, state(p, 2*firstSuspicion), scheduling.Suspect)
+	assert.Equal(t, state(p, initialSuspicion-1), scheduling.Suspect)
+	assert.Equal(t, state(p, initialSuspicion), scheduling.Live)
+	p.RecordFailure(initialSuspicion, "e")
+	assert.Equal(t, state(p, 2*initialSuspicion), scheduling.Suspect)
 	p.RecordSuccess("e")
-	assert.Equal(t, state(p, 2*firstSuspicion), scheduling.Live)
+	assert.Equal(t, state(p, 2*initialSuspicion), scheduling.Live)
 }
 
-func TestAnEngineWithoutAReportIsTheLastChoice(t *testing.T) {
+func TestEngineWithoutRecentReportIsSuspect(t *testing.T) {
 	p := newPool(machine("e", "one", false))
-	assert.Equal(t, state(p, staleReport), scheduling.Suspect)
-	p.SetLoad(staleReport, "e", controlapi.LoadRow{controlapi.LoadAge: -1}) // never reported
-	assert.Equal(t, state(p, staleReport), scheduling.Suspect)
-	p.SetLoad(staleReport, "e", controlapi.LoadRow{})
-	assert.Equal(t, state(p, staleReport), scheduling.Live)
+	assert.Equal(t, state(p, maxReportAge), scheduling.Suspect)
+	p.SetLoad(maxReportAge, "e", controlapi.LoadRow{controlapi.LoadAge: -1}) // never reported
+	assert.Equal(t, state(p, maxReportAge), scheduling.Suspect)
+	p.SetLoad(maxReportAge, "e", controlapi.LoadRow{})
+	assert.Equal(t, state(p, maxReportAge), scheduling.Live)
 }
 
-func TestLeavingEnginesComeBack(t *testing.T) {
+func TestLeavingEngineBecomesLiveAgain(t *testing.T) {
 	p := newPool(machine("e", "one", false))
-	p.MarkDraining("e") // by its own word, before control tells
+	p.MarkDraining("e") // reported by the engine, before the list shows it
 	assert.Equal(t, state(p, 0), scheduling.Leaving)
-	p.SetMachines([]controlapi.Machine{machine("e", "one", false)}) // control does not know yet
+	p.SetMachines([]controlapi.Machine{machine("e", "one", false)}) // a list that is not up to date yet
 	assert.Equal(t, state(p, 0), scheduling.Leaving)
 	p.SetMachines([]controlapi.Machine{machine("e", "one", true)})
 	assert.Equal(t, state(p, 0), scheduling.Leaving)
@@ -71,19 +71,19 @@
 	assert.Equal(t, state(p, 0), scheduling.Live)
 }
 
-func TestLeavingWorkersComeBack(t *testing.T) {
+func TestLeavingWorkerIsListedAgain(t *testing.T) {
 	worker := controlapi.Machine{ID: "w", Role: controlapi.RoleApplication, Address: "w"}
-	gone := worker
-	gone.Leaving = true
+	leaving := worker
+	leaving.Leaving = true
 	p := newPool(worker)
 	assert.Equal(t, len(p.Applications(0)), 1)
-	p.SetMachines([]controlapi.Machine{gone})
+	p.SetMachines([]controlapi.Machine{leaving})
 	assert.Equal(t, len(p.Applications(0)), 0)
 	p.SetMachines([]controlapi.Machine{worker})
 	assert.Equal(t, len(p.Applications(0)), 1)
 }
 
-func TestAReplacedIncarnationWaitsForControl(t *testing.T) {
+func TestReplacedEngineIsExcludedUntilListed(t *testing.T) {
 	p := newPool(machine("e", "one", false))
 	p.MarkReplaced("e", "one")
 	assert.Equal(t, len(p.Snapshot(0).Endpoints), 0)
