--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,12 +1,10 @@
-// Package clock is the clock by which the product decides: leases, rights to serve,
-// votes, deadlines, windows of limits and ages of beliefs are differences of its
-// readings. It goes on while a machine is suspended. The runtime's monotonic clock, by
-// which time.Since and timers go, stands still then, and a machine that slept for ten
-// seconds takes what it held before for as young as it was.
+// Package clock provides a monotonic clock that advances while the machine is suspended. Leases,
+// permissions to serve, votes, deadlines, windows of limits and the ages of cached state are
+// computed from it. The runtime's monotonic clock, on which time.Since and timers are based, stops
+// during a suspension, so that expired state would seem fresh after it.
 //
-// Timers and contexts stay with the runtime: one that was set before a suspension ends
-// late by its length. What must not last longer is checked by this clock when it is
-// used.
+// Timers and contexts still use the runtime's clock and fire late after a suspension. State that
+// must not outlive its deadline has to be checked with this clock when it is used.
 package clock
 
 import (
@@ -16,25 +14,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the machine started, suspension included. A reading is a
-// system call of 0.2 us (BenchmarkNow): the kernel's fast path knows other clocks only.
+// Now returns the time since the machine booted, including suspensions. Each call is a system call.
 func Now() time.Duration {
 	now, err := read(unix.CLOCK_BOOTTIME)
 	if err != nil {
-		// LogTrouble says so at the start. The steady clock is on every system.
+		// Every system has this clock. LogIfUnavailable reports the fallback.
 		now, _ = read(unix.CLOCK_MONOTONIC)
 	}
 	return now
 }
 
-// Since returns the time since a reading of Now.
+// Since returns the time since at, which is a result of Now.
 func Since(at time.Duration) time.Duration { return Now() - at }
 
-// LogIfUnavailable says at a process's start if the clock can't be read. The process works on,
-// with Now standing still during a suspension.
+// LogIfUnavailable logs an error if the boot-time clock cannot be read. Now then stops during a
+// suspension. It is called when a process starts.
 func LogIfUnavailable(logger *slog.Logger) {
 	if _, err := read(unix.CLOCK_BOOTTIME); err != nil {
-		logger.Error("suspension is not counted", "part", "clock", "error", err.Error())
+		logger.Error("boot-time clock is not available; time during suspension is not counted", "part", "clock", "error", err.Error())
 	}
 }
 
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTheClockCountsSuspension(t *testing.T) {
+func TestNowReadsBootTimeClock(t *testing.T) {
 	var log strings.Builder
 	LogIfUnavailable(slog.New(slog.NewTextHandler(&log, nil)))
 	assert.Equal(t, log.String(), "")
@@ -21,7 +21,7 @@
 	assert.Assert(t, now-time.Duration(boot.Nano()) < time.Minute)
 }
 
-func TestTheClockGoesOn(t *testing.T) {
+func TestClockAdvances(t *testing.T) {
 	at := Now()
 	time.Sleep(20 * time.Millisecond)
 	assert.Assert(t, Since(at) >= 20*time.Millisecond)
