--- a/internal/backends/choose.go
+++ b/internal/backends/choose.go
@@ -14,205 +14,204 @@
 	"quinceridge.example/quinceridge/internal/speed"
 )
 
-// Query is what a choice needs to know of a request.
+// Query describes a request for which a back end is chosen.
 type Query struct {
 	Pool string
-	// Zone is where the request comes from; empty for the pool's own.
+	// Zone is the zone of the request's router; empty means the pool's own zone.
 	Zone string
 	// Model is empty for pools without models.
 	Model string
-	// Key names the shared part of the prompt; requests with the same key
-	// prefer the same back end. Empty for none.
+	// Key identifies the shared part of the prompt: requests with the same key prefer the same back
+	// end. It is empty if there is none.
 	Key string
-	// Target is the time within which an answer is in time.
+	// Target is the latency target of the answer.
 	Target time.Duration
-	// GapTarget is the longest pause of a stream that keeps it in time; 0 for any.
+	// GapTarget is the longest gap between two events of a stream
+	// that still meets the target; 0 means no limit.
 	GapTarget time.Duration
-	// Shared is how many tokens of the prompt other requests share.
+	// Shared is the number of prompt tokens that other requests share.
 	Shared int
 	Work   Work
-	// UncachedTokens returns how many of the shared tokens must be read at a back end with
-	// this version, for all that is known; nil means none.
+	// UncachedTokens returns how many of the shared tokens a back end
+	// with this weights version must process because, as far as the pool
+	// can tell, no cache holds them. If it is nil, the number is 0.
 	UncachedTokens func(version int) int
-	// Holder returns the engine that has the key's part with this version; nil when
-	// nothing is known of it.
+	// Holder returns the ID of the engine that holds the cached shared part for this weights
+	// version, or "" if none is recorded. It may be nil.
 	Holder func(version int) string
-	// Claimant says whose request it is, for back ends that take only so much.
+	// Claimant identifies the owner of the request to back ends with a limit.
 	Claimant coordapi.Claimant
-	// IncludeLimited lets the choice fall on those that take no more for a while, too.
+	// IncludeLimited keeps back ends that have reached their limit among the candidates.
 	IncludeLimited bool
-	// Parts are the shared parts of the prompt.
+	// Parts are the shared parts of the prompt, in order.
 	Parts []coordapi.Part
-	// Store is the address of the store that keeps the shared parts, empty for none, and
-	// StoreTokens its memory.
+	// Store is the address of the store that keeps the shared
+	// parts, or empty; StoreTokens is its capacity in tokens.
 	Store       string
 	StoreTokens int
-	// Slots and Capacity describe one engine; 0 means no engine.
+	// Slots and Capacity are the request slots and the memory in
+	// tokens of one engine. Slots is 0 for pools without engines.
 	Slots    int
 	Capacity int
-	// Routers share the traffic about equally.
+	// Routers is the number of routers that share the traffic about equally.
 	Routers int
-	// Patience is how long the request may wait until an engine reads it; 0 for
-	// any time.
+	// Patience is the longest time that the request may wait until
+	// an engine starts to process its prompt; 0 means no limit.
 	Patience time.Duration
-	// Draw is a random number in [0, 1) that decides among candidates.
+	// Draw is a random number in [0, 1) that selects among the candidates.
 	Draw float64
-	// Tried lists back ends that are not to be chosen again.
+	// Tried lists back ends that must not be chosen again.
 	Tried []string
-	// Request names what is asked for; 0 for none.
+	// Request is the digest of the request; 0 means none.
 	Request poison.Digest
-	// Tenant and Amount are what the request counts against a limit; empty if it has
-	// none or was counted before.
+	// Tenant and Amount are charged to the tenant's limit. Tenant is empty if there is no limit or
+	// the request was charged before.
 	Tenant string
 	Amount quota.Amount
-	// cold keeps what Cold returned in the choice under way: many candidates
-	// hold the same version.
-	cold map[int]int
+	// uncached caches the results of UncachedTokens during a
+	// choice, since many candidates hold the same version.
+	uncached map[int]int
 }
 
 // Choice is a chosen back end.
 type Choice struct {
 	ID string
-	// Instance is how the back end names itself, empty if that is the ID.
+	// Instance is the instance name that the back end reports; empty if that is the ID.
 	Instance string
 	Address  string
 	Zone     string
-	// Version is the version of the model that it holds; Versioned says that
-	// it is known.
+	// Version is the weights version that the back end holds; Versioned says whether it is known.
 	Version   int
 	Versioned bool
-	// Home says that the back end is the first for the query's key, and
-	// HomeAddress is where that one is reached; empty unless it holds the same
-	// version, since what it keeps was made with its own.
+	// Home says that the back end is first in the order of the query's key.
+	// HomeAddress is the address of the first one with the same weights
+	// version, or empty: caches are only valid for the weights that made them.
 	Home        bool
 	HomeAddress string
-	// Source is the address of an engine that has read some of the shared parts,
-	// and Save says that the request is to save them, as who places for all routers
-	// knows it.
+	// Source is the address from which to fetch shared parts, and Save says that the request is to
+	// save them to the store. The placer sets both.
 	Source string
 	Save   bool
-	// Cost is the winner's cost in milliseconds and Considered how many
-	// passed the filters.
+	// Cost is the cost of the chosen back end in milliseconds and Considered the number of
+	// candidates that passed the filters.
 	Cost       float64
 	Considered int
-	// Work is what the request takes of the chosen back end.
+	// Work is the load that the request puts on the chosen back end.
 	Work Work
-	// Placement is its number at who chose for all routers, 0 for a choice of the
-	// router's own.
+	// Placement is the number of the placement at the leader, or 0 if the router chose by itself.
 	Placement uint64
-	// Ahead are the prompt tokens that the back end reads before the request's,
-	// and Wait about how long that takes.
+	// Ahead is the number of prompt tokens that the back end processes before the request's, and
+	// Wait the estimated time until it starts on these.
 	Ahead int
 	Wait  time.Duration
-	// Late says that no back end would begin to read within the query's patience.
+	// Late says that no back end would start to process the prompt within the query's patience.
 	Late bool
-	// OverLimit says that the request is beyond its tenant's limit and may come back
-	// after Wait. Uncounted says that who chose did not count it.
+	// OverLimit says that the request exceeds its tenant's limit and may be retried after Wait.
+	// Uncounted says that the placer did not charge it.
 	OverLimit bool
 	Uncounted bool
-	// Blocked names the back ends that ended while they ran the request, if that is kept
-	// from them.
+	// Blocked lists the back ends that ended while they ran the
+	// request, if it is a blocked poison request.
 	Blocked []string
-	// Right is the right to send to a back end that takes only so much from all machines; nil
-	// where there is none. If nothing was found, Room is when there is room at one such, 0
-	// if that is not why.
+	// Right is the permit to send to a back end with a limit; nil if none is needed. Room is the
+	// time until a back end with a limit has capacity, if that is why none was found, else 0.
 	Right *ratelimit.Right
 	Room  time.Duration
 }
 
-// Name is how the back end names itself.
+// Name returns the instance name that the back end reports, which defaults to its ID.
 func (c *Choice) Name() string { return cmp.Or(c.Instance, c.ID) }
 
-// savedDivisor is the part of a prompt's shared tokens that its own part may be for
-// the prompt to be saved: of 1, 2 and 4 tried, 2 led to the fewest tokens read again.
-const savedDivisor = 2
+// minSharedToOwn is the least ratio of the shared tokens of a
+// prompt to its own tokens at which its shared parts are saved.
+const minSharedToOwn = 2
 
-// MaySave tells whether the request may save its shared parts. One whose own part is
-// large leaves that to the next: nobody fetches its own part, which takes the
-// store's link and drives others out of its memory.
-func (q *Query) MaySave() bool { return q.Work.Prompt <= q.Shared/savedDivisor }
+// MaySave reports whether the request may save its shared parts. A
+// request with many tokens of its own leaves that to another one:
+// its own tokens would be saved too and evict parts that others use.
+func (q *Query) MaySave() bool { return q.Work.Prompt <= q.Shared/minSharedToOwn }
 
-// unread is how many prompt tokens an engine with this version must read.
-func (q *Query) unread(version int) int {
+// tokensToPrefill returns how many prompt tokens an engine with this weights version must process.
+func (q *Query) tokensToPrefill(version int) int {
 	if q.UncachedTokens == nil {
 		return q.Work.Prompt
 	}
-	tokens, asked := q.cold[version]
+	tokens, asked := q.uncached[version]
 	if !asked {
 		tokens = q.UncachedTokens(version)
-		q.cold[version] = tokens
+		q.uncached[version] = tokens
 	}
 	return q.Work.Prompt + tokens
 }
 
-// Choose returns the back end of least cost, and false when none may serve.
+// Choose returns the back end of least cost, or false if no back end is eligible.
 func (p *Pool) Choose(now time.Duration, q *Query) (Choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	q.cold = map[int]int{}
-	rate := entry(p.reading, q.Pool).Rate()
+	q.uncached = map[int]int{}
+	rate := entry(p.prefill, q.Pool).Rate()
 	candidates := p.candidates(now, q, rate)
 	if len(candidates) == 0 {
 		return Choice{}, false
 	}
-	if p.drains {
-		entry(p.demands, q.Pool).engines = standing(candidates)
+	if p.central {
+		entry(p.demands, q.Pool).engines = countRepresented(candidates)
 	}
-	candidates, late := within(candidates, q, rate, entry(p.flows, q.Pool).mean())
+	candidates, late := withinPatience(candidates, q, rate, entry(p.flows, q.Pool).mean())
 	if late {
 		p.refused++
 	}
 	preferred := p.preferred(q, candidates)
-	old := entry(p.flows, q.Pool).stale(now, p.age(now), q.Routers)
+	staleness := entry(p.flows, q.Pool).estimateStaleness(now, p.age(now), q.Routers)
 	homes := rank(q, candidates, preferred > 0)
 	for i := range candidates {
-		candidates[i].cost = p.cost(now, q, &candidates[i], old, rate, preferred)
+		candidates[i].cost = p.cost(now, q, &candidates[i], staleness, rate, preferred)
 	}
-	best := p.pick(q, candidates, old)
+	best := p.pick(q, candidates, staleness)
 	version, versioned := best.Weights[q.Model]
 	homeAddress := ""
 	if versioned && homes[version] != nil {
 		homeAddress = homes[version].Address
 	}
-	work := Work{Prompt: q.unread(version), Most: q.Work.Most}
+	work := Work{Prompt: q.tokensToPrefill(version), Most: q.Work.Most}
 	return Choice{ID: best.ID, Instance: best.Instance, Address: best.Address, Zone: best.Zone, Version: version, Versioned: versioned && q.Model != "",
-		Home: best.rank == 0, HomeAddress: homeAddress, Cost: best.cost, Considered: standing(candidates), Work: work,
+		Home: best.rank == 0, HomeAddress: homeAddress, Cost: best.cost, Considered: countRepresented(candidates), Work: work,
 		Ahead: best.ahead, Wait: max(best.wait, rate.Wait(best.ahead)), Late: late}, true
 }
 
-// candidate is a back end under decision.
+// candidate is a back end that passed the filters.
 type candidate struct {
 	*row
-	// ahead are the prompt tokens that the back end has still to read.
+	// ahead is the number of prompt tokens that the back end has yet to process.
 	ahead int
-	// wait is about how long the request waits until it is read, in choices with a
-	// patience.
+	// wait is the estimated time until the prompt is processed; it
+	// is set if the query has a patience.
 	wait time.Duration
-	// aside says that it stands back while there are others.
-	aside bool
-	// rank is its place in the order of the query's key, from 0 to rankLimit for
-	// all further ones.
+	// lastResort says that the back end is chosen only if no other is left.
+	lastResort bool
+	// rank is the position in the order of the query's key, at most rankLimit.
 	rank int
 	cost float64
-	// stands is how many back ends it stands for that are like it, itself among them.
-	stands int
+	// represents is the number of equivalent back ends that the
+	// candidate stands for, including itself.
+	represents int
 }
 
-// standing is how many back ends candidates stand for.
-func standing(candidates []candidate) int {
+// countRepresented returns how many back ends the candidates represent.
+func countRepresented(candidates []candidate) int {
 	count := 0
 	for i := range candidates {
-		count += candidates[i].stands
+		count += candidates[i].represents
 	}
 	return count
 }
 
-// pick chooses among the candidates by their costs.
-func (p *Pool) pick(q *Query, candidates []candidate, old staleness) *candidate {
+// pick selects a candidate by cost.
+func (p *Pool) pick(q *Query, candidates []candidate, staleness loadStaleness) *candidate {
 	if q.Slots > 0 {
 		return least(candidates)
 	}
-	return spread(candidates, old.unseen*loadCost(1, &candidates[0]), q.Draw)
+	return drawWaterFilling(candidates, staleness.unseen*loadCost(1, &candidates[0]), q.Draw)
 }
 
 // least returns the candidate of least cost; the lowest ID wins a tie.
@@ -227,45 +226,45 @@
 	return best
 }
 
-// indexed tells whether the index serves a choice: those among plain back ends depend on
-// more than it knows.
-func (p *Pool) indexed(q *Query) bool { return p.index != nil && q.Slots > 0 }
+// usesIndex reports whether the index serves a choice. It does not for pools without engines, whose
+// choice depends on more than the index groups by.
+func (p *Pool) usesIndex(q *Query) bool { return p.index != nil && q.Slots > 0 }
 
-// considered are the back ends that a choice looks at one by one.
-func (p *Pool) considered(now time.Duration, q *Query) iter.Seq[*row] {
-	if !p.indexed(q) {
+// examined returns the back ends that a choice examines one by one.
+func (p *Pool) examined(now time.Duration, q *Query) iter.Seq[*row] {
+	if !p.usesIndex(q) {
 		return maps.Values(p.rows)
 	}
-	p.settle(now, q.Pool)
+	p.groupIdle(now, q.Pool)
 	return maps.Keys(p.index.pool(q.Pool).active)
 }
 
-// candidates returns the back ends that pass the filters and want requests. Those that
-// turned a request away a moment ago, are silent or have stopped to answer stand back unless
-// no other is left.
+// candidates returns the back ends that pass the filters and accept
+// requests. Back ends that are busy, send no heartbeat, recover from a
+// pushback or do not respond are returned only if there are no others.
 func (p *Pool) candidates(now time.Duration, q *Query, rate speed.TokensPerMs) []candidate {
 	out := p.scratch[:0]
-	aside := 0
-	for r := range p.considered(now, q) {
+	lastResort := 0
+	for r := range p.examined(now, q) {
 		if r.Pool != q.Pool || !p.mayServe(r, q) || slices.Contains(q.Tried, r.ID) {
 			continue
 		}
-		if p.standing(r.ID).Barred() || (now < r.fullUntil && !q.IncludeLimited) {
+		if p.pushbackState(r.ID).Barred() || (now < r.limitedUntil && !q.IncludeLimited) {
 			continue
 		}
-		c := candidate{row: r, ahead: p.unreadOf(now, r, rate) + r.others.Prompt,
-			aside: now < r.busy || r.silent || r.aside(now) || p.quiet(now, r, rate), stands: 1}
-		if c.aside {
-			aside++
+		c := candidate{row: r, ahead: p.remainingPrefill(now, r, rate) + r.otherLoad.Prompt,
+			lastResort: now < r.busyUntil || r.noHeartbeat || r.lastResort(now) || p.unresponsive(now, r, rate), represents: 1}
+		if c.lastResort {
+			lastResort++
 		}
 		out = append(out, c)
 	}
-	if p.indexed(q) {
+	if p.usesIndex(q) {
 		out = p.representatives(q, out)
 	}
 	p.scratch = out
-	if aside == 0 || aside == len(out) {
+	if lastResort == 0 || lastResort == len(out) {
 		return out
 	}
-	return slices.DeleteFunc(out, func(c candidate) bool { return c.aside })
+	return slices.DeleteFunc(out, func(c candidate) bool { return c.lastResort })
 }
--- a/internal/backends/demand.go
+++ b/internal/backends/demand.go
@@ -6,26 +6,26 @@
 	"quinceridge.example/quinceridge/internal/decay"
 )
 
-// demandTime is the time over which reading is averaged.
-const demandTime = 2 * time.Second
+// demandWindow is the time constant of the average of prefill time.
+const demandWindow = 2 * time.Second
 
-// demand follows how long engines need to read what they are sent, with weights
-// that fall over demandTime. The zero value is ready.
+// demand averages the prefill time of the requests sent to a
+// pool, with exponential decay. The zero value is ready to use.
 type demand struct {
-	// reading is in nanoseconds.
-	reading decay.Sum
-	// engines is how many could be chosen last.
+	// prefill is in nanoseconds.
+	prefill decay.Sum
+	// engines is the number of engines that were candidates of the last choice.
 	engines int
 }
 
-// PrefillShare is the part of their time that the engines of the busiest pool need
-// to read prompts.
+// PrefillShare returns the share of their time that the
+// engines of the busiest pool spend on prefill.
 func (p *Pool) PrefillShare(now time.Duration) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	most := 0.0
 	for _, d := range p.demands {
-		most = max(most, d.reading.Value(now, demandTime)/float64(demandTime)/float64(max(d.engines, 1)))
+		most = max(most, d.prefill.Value(now, demandWindow)/float64(demandWindow)/float64(max(d.engines, 1)))
 	}
 	return most
 }
--- a/internal/backends/filter.go
+++ b/internal/backends/filter.go
@@ -6,9 +6,9 @@
 	"quinceridge.example/quinceridge/internal/speed"
 )
 
-// mayServe is the filter: what fails it must never get the request.
+// mayServe reports whether a back end is eligible for a request. An ineligible one is never chosen.
 func (p *Pool) mayServe(r *row, q *Query) bool {
-	if r.Draining || r.wrong || r.unlisted || r.Loading != nil {
+	if r.Draining || r.wrongInstance || r.unlisted || r.Loading != nil {
 		return false
 	}
 	if q.Model == "" {
@@ -18,35 +18,35 @@
 	if !holds {
 		return p.notes.Minimum[q.Model] == 0 && len(r.Weights) == 0
 	}
-	if refused, ok := r.refused[q.Model]; ok && refused == version {
+	if mismatched, ok := r.mismatched[q.Model]; ok && mismatched == version {
 		return false
 	}
 	return version >= p.notes.Minimum[q.Model]
 }
 
-// Barred tells whether a back end must not get a request for a model, whoever chose it:
-// for what this pool knows that is never taken back (it drains, it is gone from its
-// address, or the time of its weights is over), or since it wants nothing from this process.
+// Barred reports whether a request for a model must not be sent to a back end, no matter which node
+// chose it: the back end is draining, another instance answers at its address, the weights version
+// is below the minimum, or it has pushed back this process.
 func (p *Pool) Barred(id, model string, version int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.rows[id]
-	return version < p.notes.Minimum[model] || (r != nil && (r.Draining || r.wrong)) || p.standing(id).Barred()
+	return version < p.notes.Minimum[model] || (r != nil && (r.Draining || r.wrongInstance)) || p.pushbackState(id).Barred()
 }
 
-// placeWait is about how long a request waits for a place at an engine whose places
-// are taken: one becomes free each time a part of the mean run is over.
-func placeWait(q *Query, c *candidate, run time.Duration) time.Duration {
-	over := c.running + c.others.Running + 1 - q.Slots
+// slotWait estimates how long a request waits for a slot of an engine whose slots are all taken,
+// where run is the mean duration of a request.
+func slotWait(q *Query, c *candidate, run time.Duration) time.Duration {
+	over := c.running + c.otherLoad.Running + 1 - q.Slots
 	if q.Slots == 0 || over <= 0 {
 		return 0
 	}
 	return time.Duration(over) * run / time.Duration(q.Slots)
 }
 
-// within returns the candidates that begin to read the request within its
-// patience, or if there are none the one that begins first, and true.
-func within(candidates []candidate, q *Query, rate speed.TokensPerMs, run time.Duration) ([]candidate, bool) {
+// withinPatience returns the candidates that start to process the prompt within the request's
+// patience. If there are none, it returns the one that starts first, and true.
+func withinPatience(candidates []candidate, q *Query, rate speed.TokensPerMs, run time.Duration) ([]candidate, bool) {
 	if q.Model == "" || q.Patience <= 0 {
 		return candidates, false
 	}
@@ -54,7 +54,7 @@
 	first := 0
 	for i := range candidates {
 		c := &candidates[i]
-		c.wait = rate.Wait(c.ahead) + placeWait(q, c, run)
+		c.wait = rate.Wait(c.ahead) + slotWait(q, c, run)
 		if c.wait <= q.Patience {
 			out = append(out, *c)
 		}
--- a/internal/backends/full.go
+++ b/internal/backends/full.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// SetLimited notes that a back end which takes only so much from all machines takes no more for a
-// while, whoever sends. That is no trouble of it: it has neither failed nor turned anything
-// away.
+// SetLimited records that the limit of a back end admits no further request from any router for the
+// given time; 0 clears it. Unlike Failed and Busy it does not count against the back end.
 func (p *Pool) SetLimited(now time.Duration, id string, wait time.Duration) {
-	p.with(id, func(r *row) { r.fullUntil = now + wait })
+	p.update(id, func(r *row) { r.limitedUntil = now + wait })
 }
--- a/internal/backends/herd_test.go
+++ b/internal/backends/herd_test.go
@@ -18,12 +18,12 @@
 const (
 	servers       = 8
 	slots         = 6
-	queued        = 24
+	queueLength   = 24
 	serviceTime   = 60 * time.Millisecond
-	arrivalsAMs   = 0.3
-	herdTime      = 8 * time.Second
+	arrivalsPerMs = 0.3
+	simulatedTime = 8 * time.Second
 	warmUp        = time.Second
-	leastInterval = 80 * time.Millisecond
+	minInterval   = 80 * time.Millisecond
 )
 
 // finish is the end of a request at a server.
@@ -46,23 +46,22 @@
 	return last
 }
 
-// fleet is a number of routers in virtual time before one small pool without
-// engines. They hear of each other's loads at intervals that grow with their
-// number, as the leader announces them.
-type fleet struct {
+// simulation runs a number of routers in virtual time in front of a small pool without engines. The
+// routers receive each other's loads at intervals that grow with their number.
+type simulation struct {
 	rng      *rand.Rand
 	routers  []*Pool
 	interval time.Duration
 	ends     finishes
-	// busy holds, by server, when each place is free again.
-	busy                 [servers][]time.Duration
-	requests, turnedAway int
-	// waited is the time that requests spent in queues.
+	// busy holds the times at which the slots of each server become free.
+	busy               [servers][]time.Duration
+	requests, rejected int
+	// waited is the total time that requests spent in queues.
 	waited time.Duration
 }
 
-func newFleet(routers int) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(1, uint64(routers))), interval: leastInterval + time.Duration(routers)*3*time.Millisecond}
+func newSimulation(routers int) *simulation {
+	f := &simulation{rng: rand.New(rand.NewPCG(1, uint64(routers))), interval: minInterval + time.Duration(routers)*3*time.Millisecond}
 	var rows []state.Backend
 	for i := range servers {
 		rows = append(rows, state.Backend{ID: strconv.Itoa(i), Pool: "app", Address: "127.0.0.1:1", Zone: fmt.Sprint(i % 5), Slots: slots})
@@ -75,10 +74,11 @@
 	return f
 }
 
-// share brings each router the work of all, as they told it one interval ago.
-func (f *fleet) share(now time.Duration, told []coordapi.Load) []coordapi.Load {
+// exchangeLoads delivers the loads of the previous interval to
+// all routers and returns their current sums.
+func (f *simulation) exchangeLoads(now time.Duration, previous []coordapi.Load) []coordapi.Load {
 	for _, p := range f.routers {
-		p.SetTotalLoads(now, told, f.interval, true)
+		p.SetTotalLoads(now, previous, f.interval, true)
 	}
 	sums := map[string]coordapi.Load{}
 	for _, p := range f.routers {
@@ -94,8 +94,8 @@
 	return out
 }
 
-// request sends one request through a router.
-func (f *fleet) request(now time.Duration) {
+// request sends one request through a random router.
+func (f *simulation) request(now time.Duration) {
 	p := f.routers[f.rng.IntN(len(f.routers))]
 	q := Query{Pool: "app", Target: 300 * time.Millisecond, Routers: len(f.routers), Draw: f.rng.Float64()}
 	choice, _ := p.Choose(now, &q)
@@ -112,11 +112,11 @@
 	}
 	f.busy[server] = held
 	attempt := p.Begin(now, &choice, &q, func(error) {})
-	if len(held) >= slots+queued {
+	if len(held) >= slots+queueLength {
 		attempt.End(now)
 		p.Busy(now, choice.ID)
 		if counted {
-			f.turnedAway++
+			f.rejected++
 		}
 		return
 	}
@@ -125,15 +125,15 @@
 		start = held[len(held)-slots]
 	}
 	end := start + time.Duration(float64(serviceTime)*f.rng.ExpFloat64())
-	f.busy[server] = insert(held, end)
+	f.busy[server] = insertSorted(held, end)
 	if counted {
 		f.waited += start - now
 	}
 	heap.Push(&f.ends, finish{at: end, sent: now, server: server, router: p, attempt: attempt})
 }
 
-// insert keeps ends in order.
-func insert(ends []time.Duration, end time.Duration) []time.Duration {
+// insertSorted inserts an end into a sorted list.
+func insertSorted(ends []time.Duration, end time.Duration) []time.Duration {
 	ends = append(ends, end)
 	for i := len(ends) - 1; i > 0 && ends[i] < ends[i-1]; i-- {
 		ends[i], ends[i-1] = ends[i-1], ends[i]
@@ -141,13 +141,13 @@
 	return ends
 }
 
-func (f *fleet) run() {
-	var told []coordapi.Load
+func (f *simulation) run() {
+	var loads []coordapi.Load
 	next := time.Duration(0)
-	for now := time.Duration(0); now < herdTime; {
-		now += time.Duration(-math.Log(1-f.rng.Float64()) / arrivalsAMs * float64(time.Millisecond))
+	for now := time.Duration(0); now < simulatedTime; {
+		now += time.Duration(-math.Log(1-f.rng.Float64()) / arrivalsPerMs * float64(time.Millisecond))
 		for ; next <= now; next += f.interval {
-			told = f.share(next, told)
+			loads = f.exchangeLoads(next, loads)
 		}
 		for len(f.ends) > 0 && f.ends[0].at <= now {
 			e := heap.Pop(&f.ends).(finish)
@@ -158,18 +158,17 @@
 	}
 }
 
-// 295 routers that all chose the least load of sums a second old sent all to
-// one server until the next sums: 42 of 100 requests were turned away at a
-// service that was 40 in 100 loaded.
-func TestAChoiceDoesNotHerdWithTheNumberOfRouters(t *testing.T) {
+// Guards against routers that all send to the back end that
+// was least loaded in the same outdated report.
+func TestChoicesDoNotHerd(t *testing.T) {
 	for _, routers := range []int{1, 10, 100, 300} {
 		t.Run(strconv.Itoa(routers), func(t *testing.T) {
-			f := newFleet(routers)
+			f := newSimulation(routers)
 			f.run()
 			assert.Assert(t, f.requests > 1500)
 			mean := f.waited / time.Duration(f.requests)
-			t.Logf("%d requests, %d turned away, waited %v in the mean", f.requests, f.turnedAway, mean)
-			assert.Equal(t, f.turnedAway, 0)
+			t.Logf("%d requests, %d rejected, mean wait %v", f.requests, f.rejected, mean)
+			assert.Equal(t, f.rejected, 0)
 			assert.Assert(t, mean < serviceTime/4, "%v", mean)
 		})
 	}
--- a/internal/backends/index.go
+++ b/internal/backends/index.go
@@ -10,15 +10,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// index keeps idle engines in groups, so that a choice does not look at each of them. The
-// engines of a group are alike in all that their cost depends on but the order of a key: the
-// lowest ID wins, or one of the key's first. What is left to look at are the engines with
-// work or trouble, as many as there are requests under way, and a hash of each idle engine.
-// Among 2,400 engines, 500 of them with work, a placement takes 0.18 ms and not 0.86, among
-// 9,675 it takes 0.31 ms (BenchmarkPlace, machine else idle).
+// index groups idle engines so that a choice need not examine each of them. The engines of a group
+// differ only in their position in the order of a key, so it suffices to examine the first ones of
+// that order and the one with the lowest ID. Active engines, which have work or trouble, are
+// examined one by one; there are about as many as requests in flight.
 //
-// A row that changes is active from then on; the next choice that finds it idle puts it
-// into its group.
+// A row that changes becomes active. The next choice that finds it idle moves it to its group.
 type index struct {
 	pools map[string]*poolIndex
 }
@@ -29,14 +26,14 @@
 	idle   map[groupKey]*idleGroup
 }
 
-// groupKey is what the engines of a group have in common.
+// groupKey holds the properties that the engines of a group share.
 type groupKey struct {
 	zone string
-	// weights are the versions that they hold, by model.
+	// weights is the versionsKey of the weights that they hold.
 	weights string
 }
 
-// idleGroup are idle engines, by ID, and the hashes of their addresses.
+// idleGroup holds idle engines ordered by ID, and the hashes of their addresses.
 type idleGroup struct {
 	rows   []*row
 	hashes []uint64
@@ -53,7 +50,7 @@
 	return p
 }
 
-// activate notes that a row changes. A nil index does nothing.
+// activate marks a row as active because it changes. It does nothing on a nil index.
 func (x *index) activate(r *row) {
 	if x == nil {
 		return
@@ -63,7 +60,7 @@
 	r.indexed.active[r] = struct{}{}
 }
 
-// remove forgets a row, if there is one.
+// remove removes a row, which may be nil, from the index.
 func (x *index) remove(r *row) {
 	if x == nil || r == nil || r.indexed == nil {
 		return
@@ -75,9 +72,9 @@
 	r.indexed, r.group = nil, nil
 }
 
-// addIdle puts an active row into its group.
+// addIdle moves an active row to its group.
 func (p *poolIndex) addIdle(r *row) {
-	key := groupKey{zone: r.Zone, weights: versionsText(r.Weights)}
+	key := groupKey{zone: r.Zone, weights: versionsKey(r.Weights)}
 	group := p.idle[key]
 	if group == nil {
 		group = &idleGroup{}
@@ -90,8 +87,8 @@
 	group.hashes = slices.Insert(group.hashes, at, r.hash)
 }
 
-// versionsText is a text that tells versions of models apart.
-func versionsText(weights map[string]int) string {
+// versionsKey encodes versions by model as a unique string.
+func versionsKey(weights map[string]int) string {
 	if len(weights) == 1 {
 		for model, version := range weights {
 			return fmt.Sprint(model, " ", version)
@@ -117,29 +114,30 @@
 	g.hashes = slices.Delete(g.hashes, at, at+1)
 }
 
-// isIdle tells whether nothing but the order of a key tells an engine from the others of
-// its group.
+// isIdle reports whether an engine differs from the others of
+// its group only in its position in the order of a key.
 func (r *row) isIdle(now time.Duration) bool {
-	return r.IsEngine() && r.running == 0 && r.prefill == 0 && r.unbegun == 0 && now >= r.busy && r.rate(now) == 0 &&
-		!r.aside(now) && !r.recovering && now >= r.fullUntil &&
-		!r.silent && !r.wrong && !r.unlisted && !r.Draining && r.Loading == nil && len(r.refused) == 0 &&
-		r.others.Running == 0 && r.others.Memory == 0 && r.others.Prompt == 0
+	return r.IsEngine() && r.running == 0 && r.prefillTokens == 0 && r.unanswered == 0 && now >= r.busyUntil && r.rate(now) == 0 &&
+		!r.lastResort(now) && !r.recovering && now >= r.limitedUntil &&
+		!r.noHeartbeat && !r.wrongInstance && !r.unlisted && !r.Draining && r.Loading == nil && len(r.mismatched) == 0 &&
+		r.otherLoad.Running == 0 && r.otherLoad.Memory == 0 && r.otherLoad.Prompt == 0
 }
 
-// first returns the first engines in the order of a key, by its hash, that were not tried.
+// first returns the first engines in the order of a key, given
+// its hash, leaving out the tried ones.
 func (g *idleGroup) first(keyHash uint64, tried []string) []*row {
-	var found firsts[*row]
+	var found topRanked[*row]
 	for i, hash := range g.hashes {
 		if !slices.Contains(tried, g.rows[i].ID) {
-			found.add(g.rows[i], mixed(keyHash^hash))
+			found.add(g.rows[i], mix64(keyHash^hash))
 		}
 	}
 	return found.best
 }
 
-// representatives adds the idle engines to candidates that a choice must look at: of each
-// group the first of the key's order, the one that has the key's part, and for all others
-// that with the lowest ID.
+// representatives adds the idle engines that a choice must examine to the candidates: of each group
+// the first ones in the order of the key, the holder of the key's cached part, and the one with the
+// lowest ID, which represents all others.
 func (p *Pool) representatives(q *Query, candidates []candidate) []candidate {
 	hash := xxhash.Sum64String(q.Key)
 	groups := p.index.pool(q.Pool).idle
@@ -154,7 +152,7 @@
 	return candidates
 }
 
-// represent does so for one group; hash is of the query's key.
+// represent adds the candidates of one group; hash is the hash of the query's key.
 func (p *Pool) represent(q *Query, group *idleGroup, hash uint64, candidates []candidate) []candidate {
 	var special []*row
 	if q.Key != "" {
@@ -164,7 +162,7 @@
 		special = append(special, holder)
 	}
 	for _, r := range special {
-		candidates = append(candidates, candidate{row: r, stands: 1})
+		candidates = append(candidates, candidate{row: r, represents: 1})
 	}
 	others := len(group.rows) - len(special)
 	for i, id := range q.Tried {
@@ -174,13 +172,13 @@
 	}
 	for _, r := range group.rows {
 		if !slices.Contains(special, r) && !slices.Contains(q.Tried, r.ID) {
-			return append(candidates, candidate{row: r, stands: others})
+			return append(candidates, candidate{row: r, represents: others})
 		}
 	}
 	return candidates
 }
 
-// holder returns the engine of a group that has the key's part, nil for none.
+// holder returns the engine of a group that holds the cached part of the key, or nil.
 func (p *Pool) holder(q *Query, group *idleGroup) *row {
 	if q.Holder == nil {
 		return nil
@@ -192,8 +190,8 @@
 	return r
 }
 
-// settle puts the active rows of a pool that have become idle into their groups.
-func (p *Pool) settle(now time.Duration, pool string) {
+// groupIdle moves the active rows of a pool that have become idle to their groups.
+func (p *Pool) groupIdle(now time.Duration, pool string) {
 	x := p.index.pool(pool)
 	for r := range x.active {
 		if r.isIdle(now) {
--- a/internal/backends/index_test.go
+++ b/internal/backends/index_test.go
@@ -12,18 +12,18 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// twins are two pools that hear the same, of which one has no index.
-type twins struct {
-	indexed, plain *Pool
-	random         *rand.Rand
-	now            time.Duration
-	open           [][2]*Attempt
-	rows           []state.Backend
+// poolPair is a pool with an index and one without, to which all operations are applied alike.
+type poolPair struct {
+	indexed, unindexed *Pool
+	random             *rand.Rand
+	now                time.Duration
+	open               [][2]*Attempt
+	rows               []state.Backend
 }
 
-func newTwins(seed uint64, engines int) *twins {
-	w := &twins{indexed: NewCentralPool(), plain: NewCentralPool(), random: rand.New(rand.NewPCG(seed, 7))}
-	w.plain.index = nil
+func newPoolPair(seed uint64, engines int) *poolPair {
+	w := &poolPair{indexed: NewCentralPool(), unindexed: NewCentralPool(), random: rand.New(rand.NewPCG(seed, 7))}
+	w.unindexed.index = nil
 	for i := range engines {
 		w.rows = append(w.rows, state.Backend{ID: fmt.Sprint("e", i), Pool: "llm", Address: fmt.Sprint("a:", i), Zone: fmt.Sprint("z", i%3), Slots: 4,
 			Weights: map[string]int{"m": 1}})
@@ -32,16 +32,16 @@
 	return w
 }
 
-func (w *twins) both(do func(p *Pool)) {
+func (w *poolPair) both(do func(p *Pool)) {
 	do(w.indexed)
-	do(w.plain)
+	do(w.unindexed)
 }
 
-func (w *twins) anyID() string { return w.rows[w.random.IntN(len(w.rows))].ID }
+func (w *poolPair) randomID() string { return w.rows[w.random.IntN(len(w.rows))].ID }
 
-// disturb changes something that a choice depends on.
-func (w *twins) disturb() {
-	id := w.anyID()
+// mutate changes something that a choice depends on.
+func (w *poolPair) mutate() {
+	id := w.randomID()
 	switch w.random.IntN(10) {
 	case 0:
 		w.both(func(p *Pool) { p.Failed(w.now, id) })
@@ -62,7 +62,7 @@
 		}
 		w.both(func(p *Pool) { p.Apply([]state.Backend{*row}, nil, false) })
 	case 6:
-		notes := coordapi.Notes{Silent: []string{id, w.anyID()}, Preferred: map[string]int{"m": w.random.IntN(3)}}
+		notes := coordapi.Notes{Silent: []string{id, w.randomID()}, Preferred: map[string]int{"m": w.random.IntN(3)}}
 		w.both(func(p *Pool) { p.ApplyNotes(notes) })
 	case 7:
 		whole := w.random.IntN(2) == 0
@@ -73,8 +73,8 @@
 	}
 }
 
-// end ends an attempt.
-func (w *twins) end() {
+// end ends a random attempt.
+func (w *poolPair) end() {
 	if len(w.open) == 0 {
 		return
 	}
@@ -90,16 +90,16 @@
 	w.open = w.open[:len(w.open)-1]
 }
 
-func (w *twins) query() *Query {
+func (w *poolPair) query() *Query {
 	q := &Query{Pool: "llm", Zone: fmt.Sprint("z", w.random.IntN(3)), Model: "m", Slots: 4, Capacity: 90_000, Shared: 3000, Target: time.Second,
 		Work: Work{Prompt: w.random.IntN(4000), Most: 9000}}
 	if w.random.IntN(4) > 0 {
 		q.Key = fmt.Sprint("k", w.random.IntN(20))
-		holder := w.anyID()
+		holder := w.randomID()
 		q.Holder = func(int) string { return holder }
 	}
 	if w.random.IntN(3) == 0 {
-		q.Tried = []string{w.anyID(), w.anyID()}
+		q.Tried = []string{w.randomID(), w.randomID()}
 	}
 	if w.random.IntN(2) == 0 {
 		q.Patience = 300 * time.Millisecond
@@ -107,24 +107,24 @@
 	return q
 }
 
-// A choice with the index is the one that a look at each engine gives.
-func TestTheIndexChangesNoChoice(t *testing.T) {
+// A choice by the index must equal one that examines each engine.
+func TestIndexedChoiceMatchesFullScan(t *testing.T) {
 	for seed := range uint64(30) {
-		w := newTwins(seed, 1+int(seed)*3)
+		w := newPoolPair(seed, 1+int(seed)*3)
 		for range 600 {
-			w.choose(t, w.disturb)
+			w.choose(t, w.mutate)
 		}
 	}
 }
 
-// The same where engines push back, and are tried again after.
-func TestTheIndexChangesNoChoiceBesidePushbacks(t *testing.T) {
+// As above, with engines that push back and recover.
+func TestIndexedChoiceMatchesFullScanWithPushbacks(t *testing.T) {
 	for seed := range uint64(30) {
-		w := newTwins(seed, 1+int(seed)*3)
+		w := newPoolPair(seed, 1+int(seed)*3)
 		pushBack := func() {
-			id, wait := w.anyID(), time.Duration(w.random.IntN(400))*time.Millisecond
+			id, wait := w.randomID(), time.Duration(w.random.IntN(400))*time.Millisecond
 			w.both(func(p *Pool) { p.PushedBack(w.now, id, wait) })
-			w.disturb()
+			w.mutate()
 		}
 		for range 600 {
 			w.choose(t, pushBack)
@@ -132,35 +132,35 @@
 	}
 }
 
-// choose lets both choose, at times after a disturbance, and sends what they chose.
-func (w *twins) choose(t *testing.T, disturb func()) {
+// choose compares the choices of both pools, after a random
+// mutation at times, and begins the request.
+func (w *poolPair) choose(t *testing.T, mutate func()) {
 	t.Helper()
 	w.now += time.Duration(w.random.IntN(40)) * time.Millisecond
 	if w.random.IntN(3) == 0 {
-		disturb()
+		mutate()
 	}
 	q := w.query()
 	again := *q
 	first, found := w.indexed.Choose(w.now, q)
-	second, foundToo := w.plain.Choose(w.now, &again)
-	assert.Equal(t, found, foundToo)
+	second, secondFound := w.unindexed.Choose(w.now, &again)
+	assert.Equal(t, found, secondFound)
 	assert.Equal(t, first.Late, second.Late)
 	assert.Equal(t, first.Wait, second.Wait)
 	if !found || first.Late {
 		return
 	}
 	assert.DeepEqual(t, first, second)
-	w.open = append(w.open, [2]*Attempt{w.indexed.Begin(w.now, &first, q, func(error) {}), w.plain.Begin(w.now, &second, &again, func(error) {})})
+	w.open = append(w.open, [2]*Attempt{w.indexed.Begin(w.now, &first, q, func(error) {}), w.unindexed.Begin(w.now, &second, &again, func(error) {})})
 	if len(w.open) > 3*len(w.rows) {
 		w.end()
 	}
 }
 
-// Engines with work are as many as there are requests, and only these are looked at one by
-// one, however many are idle.
-func TestAChoiceLooksAtFewEnginesAtRest(t *testing.T) {
+// Choose must examine the engines with work one by one, but only a few idle ones.
+func TestChooseExaminesFewIdleEngines(t *testing.T) {
 	for _, engines := range []int{300, 3000, 30000} {
-		w := newTwins(1, engines)
+		w := newPoolPair(1, engines)
 		for range 50 {
 			q := w.query()
 			q.Tried = nil
--- a/internal/backends/outcome.go
+++ b/internal/backends/outcome.go
@@ -9,76 +9,76 @@
 )
 
 const (
-	// failureGain is the weight of one outcome in a back end's failure rate.
-	failureGain = 0.25
-	// failureHalfLife is the time in which an old failure counts half.
+	// failureWeight is the weight of one outcome in the average failure rate of a back end.
+	failureWeight = 0.25
+	// failureHalfLife is the half-life of the failure rate.
 	failureHalfLife = 3 * time.Second
-	// forgivenRate is the failure rate that counts as none: it would cost less than the
-	// way to another zone.
-	forgivenRate = 0.001
-	// busyPause is how long a back end that turned a request away is avoided.
+	// negligibleRate is the failure rate that is rounded down to
+	// 0. It would cost less than the use of another zone.
+	negligibleRate = 0.001
+	// busyPause is the time for which a back end that rejected a request as busy is avoided.
 	busyPause = 150 * time.Millisecond
-	// unreachablePause is the same for one that could not be reached.
+	// unreachablePause is the time for which an unreachable back end is avoided.
 	unreachablePause = 1500 * time.Millisecond
-	// latencyGain is the weight of one answer in the mean time of answers.
-	latencyGain = 0.1
-	// maxTroubles bounds what is kept for Troubles: more than a router sees between
-	// two words to the leader.
+	// latencyWeight is the weight of one answer in the average latency of a back end.
+	latencyWeight = 0.1
+	// maxTroubles bounds the troubles kept until the next call of Troubles. It is more than a
+	// router observes between two reports to the leader.
 	maxTroubles = 64
 )
 
-// Succeeded notes a good answer and how long it took.
+// Succeeded records a successful answer and its latency.
 func (p *Pool) Succeeded(now time.Duration, id string, took time.Duration) {
-	p.with(id, func(r *row) {
-		r.silent, r.recovering = false, false
-		r.failures = r.rate(now) * (1 - failureGain)
+	p.update(id, func(r *row) {
+		r.noHeartbeat, r.recovering = false, false
+		r.failureRate = r.rate(now) * (1 - failureWeight)
 		r.failedAt = now
-		r.latency += latencyGain * (float64(took.Milliseconds()) - r.latency)
+		r.latency += latencyWeight * (float64(took.Milliseconds()) - r.latency)
 		entry(p.flows, r.Pool).ended(took)
 	})
 }
 
-// Failed notes a failed request.
+// Failed records a failed request.
 func (p *Pool) Failed(now time.Duration, id string) {
-	p.with(id, func(r *row) {
-		p.trouble(r, coordapi.Failed)
-		r.failures = r.rate(now)*(1-failureGain) + failureGain
+	p.update(id, func(r *row) {
+		p.recordTrouble(r, coordapi.Failed)
+		r.failureRate = r.rate(now)*(1-failureWeight) + failureWeight
 		r.failedAt = now
 	})
 }
 
-// Busy notes that a back end turned a request away.
+// Busy records that a back end rejected a request because it is busy.
 func (p *Pool) Busy(now time.Duration, id string) {
-	p.with(id, func(r *row) {
-		p.trouble(r, coordapi.Busy)
-		r.busy = now + busyPause
+	p.update(id, func(r *row) {
+		p.recordTrouble(r, coordapi.Busy)
+		r.busyUntil = now + busyPause
 	})
 }
 
-// Unreachable notes that no connection to a back end could be had.
+// Unreachable records that no connection to a back end could be opened.
 func (p *Pool) Unreachable(now time.Duration, id string) {
-	p.with(id, func(r *row) {
-		p.trouble(r, coordapi.Unreachable)
-		r.busy = now + unreachablePause
+	p.update(id, func(r *row) {
+		p.recordTrouble(r, coordapi.Unreachable)
+		r.busyUntil = now + unreachablePause
 	})
 }
 
-// Mismatch notes that the address answered as another instance, or that the
-// back end does not hold the version of a model.
+// Mismatch records that another instance answers at the address of a back end, or that the back end
+// does not hold the given version of a model.
 func (p *Pool) Mismatch(id, model string, version int, otherInstance bool) {
-	p.with(id, func(r *row) {
+	p.update(id, func(r *row) {
 		if otherInstance {
-			p.trouble(r, coordapi.OtherInstance)
-			r.wrong = true
+			p.recordTrouble(r, coordapi.OtherInstance)
+			r.wrongInstance = true
 			return
 		}
-		r.refused = map[string]int{model: version}
+		r.mismatched = map[string]int{model: version}
 	})
 }
 
-// VersionObserved notes the version of a model that a back end's answer named.
+// VersionObserved records the weights version that a back end's answer named.
 func (p *Pool) VersionObserved(id, model string, version int) {
-	p.with(id, func(r *row) {
+	p.update(id, func(r *row) {
 		if version > r.Weights[model] {
 			weights := maps.Clone(r.Weights)
 			if weights == nil {
@@ -90,14 +90,14 @@
 	})
 }
 
-// trouble keeps what an engine's attempt showed, for others to hear of.
-func (p *Pool) trouble(r *row, kind coordapi.TroubleKind) {
-	if r.IsEngine() && len(p.troubles) < maxTroubles && !p.drains {
+// recordTrouble keeps the failure of an attempt at an engine for the report to the leader.
+func (p *Pool) recordTrouble(r *row, kind coordapi.TroubleKind) {
+	if r.IsEngine() && len(p.troubles) < maxTroubles && !p.central {
 		p.troubles = append(p.troubles, coordapi.Trouble{ID: r.ID, Kind: kind})
 	}
 }
 
-// Troubles returns what attempts at engines have shown since the last call.
+// Troubles returns and clears the failures of attempts at engines.
 func (p *Pool) Troubles() []coordapi.Trouble {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,7 +106,7 @@
 	return out
 }
 
-// ApplyTroubles takes what attempts of another router have shown.
+// ApplyTroubles applies the failures that another router has reported.
 func (p *Pool) ApplyTroubles(now time.Duration, troubles []coordapi.Trouble) {
 	for _, t := range troubles {
 		switch t.Kind {
@@ -125,7 +125,7 @@
 	}
 }
 
-func (p *Pool) with(id string, change func(r *row)) {
+func (p *Pool) update(id string, change func(r *row)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r := p.rows[id]; r != nil {
@@ -134,13 +134,13 @@
 	}
 }
 
-// rate is the failure rate at now.
+// rate returns the failure rate, decayed to now.
 func (r *row) rate(now time.Duration) float64 {
-	if r.failures == 0 {
+	if r.failureRate == 0 {
 		return 0
 	}
-	rate := r.failures * math.Exp2(-float64(now-r.failedAt)/float64(failureHalfLife))
-	if rate < forgivenRate {
+	rate := r.failureRate * math.Exp2(-float64(now-r.failedAt)/float64(failureHalfLife))
+	if rate < negligibleRate {
 		return 0
 	}
 	return rate
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -1,8 +1,8 @@
-// Package backends is a router's picture of its back ends: the rows that the
-// coordinators keep, joined with what the router's own requests show, and the
-// choice of one for a request by filter, scorer and picker.
+// Package backends keeps a router's view of its back ends and chooses one for each request. The
+// view joins the rows that the coordinators send with what the router's own requests observe. A
+// choice applies filters, a cost function and a selection among the costs.
 //
-// The package does no I/O; time is an argument.
+// The package does no I/O; callers pass the time.
 package backends
 
 import (
@@ -18,96 +18,92 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// row is one back end.
+// row is the state of one back end.
 type row struct {
 	state.Backend
-	// silent says that the coordinators hear no heartbeat.
-	silent bool
-	// wrong says that the address answered as another instance.
-	wrong bool
-	// unlisted says that the coordinators tell this router nothing of it: it is here for
-	// the requests under way that the leader has placed there.
+	// noHeartbeat says that the coordinators receive no heartbeats from it.
+	noHeartbeat bool
+	// wrongInstance says that another instance answers at its address.
+	wrongInstance bool
+	// unlisted says that the coordinators do not list it for this router. The row remains for
+	// requests that are still in flight there.
 	unlisted bool
-	// indexed and group are where the pool's index has it; nil outside.
+	// indexed and group are its location in the pool's index, or nil.
 	indexed *poolIndex
 	group   *idleGroup
-	// refused maps models to a version that the back end did not hold.
-	refused map[string]int
-	// running and memory are this router's requests there and their tokens; prefill
-	// are the tokens of those that it has not begun to answer. In a pool that drains,
-	// readFrom is when it began the last one that it answered, or was sent the first
-	// of those: it reads them from then on.
-	running  int
-	memory   int
-	prefill  int
-	readFrom time.Duration
-	// open are the attempts there, in a router's own pool.
-	open map[*Attempt]struct{}
-	// unbegun are the requests that it has not begun to answer, in a pool that
-	// drains, and quietFrom is when it last showed a sign of life or the first of
-	// them was sent.
-	unbegun   int
-	quietFrom time.Duration
-	// hash is of the address, see rank.
+	// mismatched maps models to a version that the back end turned out not to hold.
+	mismatched map[string]int
+	// running and memory are the number of this router's requests there and the tokens of memory
+	// they take. prefillTokens is the number of prompt tokens of those without a first event. In a
+	// central pool, prefillStart is the time from which it is assumed to process these.
+	running       int
+	memory        int
+	prefillTokens int
+	prefillStart  time.Duration
+	// attempts is the set of attempts there. It is not used in a central pool.
+	attempts map[*Attempt]struct{}
+	// unanswered is the number of requests without a first event. lastProgress
+	// is the time of the last reported first event or, if later, of sending
+	// the first of these requests. Both are used in a central pool only.
+	unanswered   int
+	lastProgress time.Duration
+	// hash is the hash of the address, see rank.
 	hash uint64
-	// others is the work of all other routers there, as of Pool.othersAt, and
-	// told what this router told of its own.
-	others coordapi.Load
-	told   coordapi.Load
-	// failures is the rate of failed requests, as of failedAt.
-	failures float64
-	failedAt time.Duration
-	busy     time.Duration
-	latency  float64
-	// fullUntil is until when it takes no more, for all that is known of what it takes from
-	// all machines together.
-	fullUntil time.Duration
-	// pushedBack is until when it wants nothing from some router, in a pool for all of
-	// them. What it wants from this process alone stands in Pool.pushbacks.
-	pushedBack time.Duration
-	// recovering says that it has pushed back and begun no request since, and trials are
-	// the requests that it was sent since.
+	// otherLoad is the load of all other routers, as of Pool.loadsAt, and reportedLoad this
+	// router's own load as of its last report.
+	otherLoad    coordapi.Load
+	reportedLoad coordapi.Load
+	// failureRate is the average failure rate as of failedAt.
+	failureRate float64
+	failedAt    time.Duration
+	busyUntil   time.Duration
+	latency     float64
+	// limitedUntil is the time until which its limit admits no request from any router.
+	limitedUntil time.Duration
+	// pushedBackUntil is the end of the latest pushback of any router, in a central pool. Pushbacks
+	// of this process alone are in Pool.pushbacks.
+	pushedBackUntil time.Duration
+	// recovering says that it has pushed back and begun no request since. trials is the number of
+	// requests sent to it meanwhile that have not begun.
 	recovering bool
 	trials     int
 }
 
-// Pool holds all back ends of all pools. It is safe for concurrent use.
-// Lock order: mu, then that of pushbacks.
+// Pool holds the back ends of all pools. It is safe for
+// concurrent use. Lock order: mu, then that of pushbacks.
 type Pool struct {
 	zone string
-	// drains says that first events are heard of late, by reportDelay in the mean:
-	// for that time engines count as reading what they were sent at their speed.
-	drains bool
-	// pushbacks is what back ends want from this process; nil for nothing.
+	// central says that the pool chooses for all routers and receives first events with a mean
+	// delay of reportDelay. Engines are assumed to process prompts at the estimated rate meanwhile.
+	central bool
+	// pushbacks holds the pushbacks of back ends against this process; nil means none.
 	pushbacks *pushback.Register
 	// index is nil in a router's own pool.
 	index       *index
 	reportDelay time.Duration
 	mu          sync.Mutex
 	rows        map[string]*row
-	// scratch is the list of candidates of the last choice.
+	// scratch is the reused buffer for candidates.
 	scratch []candidate
-	// troubles are what Troubles returns next.
+	// troubles is the result of the next call of Troubles.
 	troubles []coordapi.Trouble
-	// notes is what the leader said last.
+	// notes is the state that the leader sent last.
 	notes coordapi.Notes
-	// othersAt is when the others' work was heard of last, and othersAge how old it
-	// was then.
-	othersAt  time.Duration
-	othersAge time.Duration
-	// flows are the requests of each pool, by its name.
+	// loadsAt is the time of the last call of SetTotalLoads, and loadsAge the age of its loads.
+	loadsAt  time.Duration
+	loadsAge time.Duration
+	// flows holds the request statistics of each pool, by name.
 	flows map[string]*flow
-	// waiting are the attempts whose back ends have not begun.
+	// waiting is the set of attempts whose back ends have not begun to answer.
 	waiting map[*Attempt]struct{}
-	// refused counts the requests for which all engines were behind.
+	// refused counts the requests that no engine could start within their patience.
 	refused int
-	// reading is how fast the engines of a pool read, and demands how much they have to,
-	// by the pool's name.
-	reading map[string]*speed.Estimator
+	// prefill holds the prefill estimators of the pools and demands their prefill demand, by name.
+	prefill map[string]*speed.Estimator
 	demands map[string]*demand
 }
 
-// entry returns what is kept of a pool, made when it is first asked for.
+// entry returns the entry of a pool and creates it if it is missing.
 func entry[T any](entries map[string]*T, pool string) *T {
 	e := entries[pool]
 	if e == nil {
@@ -117,25 +113,26 @@
 	return e
 }
 
-// NewPool returns an empty pool as seen from a zone.
+// NewPool returns an empty pool for a router in a zone.
 func NewPool(zone string) *Pool {
-	return &Pool{zone: zone, rows: map[string]*row{}, waiting: map[*Attempt]struct{}{}, reading: map[string]*speed.Estimator{},
+	return &Pool{zone: zone, rows: map[string]*row{}, waiting: map[*Attempt]struct{}{}, prefill: map[string]*speed.Estimator{},
 		flows: map[string]*flow{}, demands: map[string]*demand{}}
 }
 
-// SetPushbacks makes the pool choose no back end that wants nothing from this process. It is
-// called before the pool is used.
+// SetPushbacks makes the pool skip back ends that have pushed
+// back this process. It must be called before the pool is used.
 func (p *Pool) SetPushbacks(pushbacks *pushback.Register) { p.pushbacks = pushbacks }
 
-// NewCentralPool returns an empty pool for one that chooses for all routers. It is
-// told late when engines have read a prompt.
+// NewCentralPool returns an empty pool that chooses for all routers. It receives first events only
+// through the reports of routers.
 func NewCentralPool() *Pool {
 	p := NewPool("")
-	p.drains, p.reportDelay, p.index = true, firstReportDelay, newIndex()
+	p.central, p.reportDelay, p.index = true, initialReportDelay, newIndex()
 	return p
 }
 
-// Apply changes rows and removes departed back ends; whole replaces all.
+// Apply updates rows and removes departed back ends. If whole is
+// set, it removes all rows that are not among the changed ones.
 func (p *Pool) Apply(changed []state.Backend, departed []string, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,7 +144,7 @@
 		}
 		r.Backend, r.hash, r.unlisted = b, xxhash.Sum64String(b.Address), false
 		p.index.activate(r)
-		p.supersede(r)
+		p.cancelSuperseded(r)
 	}
 	if whole {
 		named := make(map[string]bool, len(changed))
@@ -162,21 +159,21 @@
 	}
 }
 
-// RestrictToShard drops the engines outside a shard, of which nothing more is heard.
+// RestrictToShard removes the engines outside a shard, for which no more updates follow.
 func (p *Pool) RestrictToShard(shard coordapi.Shard) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.drop(func(r *row) bool { return r.IsEngine() && !shard.Holds(coordapi.BackendID(r.ID)) })
 }
 
-// drop removes rows. Those of engines with requests under way stay unlisted until these
-// are over: what becomes of them is told to the leader.
+// drop removes the matching rows. Engines with requests in flight remain as unlisted until these
+// end, so that their failures can be reported to the leader.
 func (p *Pool) drop(of func(*row) bool) {
 	maps.DeleteFunc(p.rows, func(_ string, r *row) bool {
 		if !of(r) {
 			return false
 		}
-		r.unlisted = r.IsEngine() && r.running > 0 && !p.drains
+		r.unlisted = r.IsEngine() && r.running > 0 && !p.central
 		if !r.unlisted {
 			p.index.remove(r)
 		}
@@ -184,8 +181,8 @@
 	})
 }
 
-// rowOf returns the row of a chosen back end. One of which the router is told nothing is
-// there unlisted from now on.
+// rowOf returns the row of a chosen back end. It adds an unlisted row for one that the leader chose
+// and the coordinators do not list for this router.
 func (p *Pool) rowOf(choice *Choice, q *Query) *row {
 	r := p.rows[choice.ID]
 	if r == nil && choice.Placement > 0 && choice.Versioned {
@@ -196,64 +193,67 @@
 	return r
 }
 
-// ApplyNotes takes what only the leader knows.
+// ApplyNotes replaces the state that only the leader determines,
+// such as missing heartbeats and the oldest weights in use.
 func (p *Pool) ApplyNotes(notes coordapi.Notes) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	before := p.notes.Silent
 	p.notes = notes
-	p.expire(notes.Expired)
+	p.cancelExpired(notes.Expired)
 	for _, id := range before {
 		if r := p.rows[id]; r != nil {
-			r.silent = false
+			r.noHeartbeat = false
 		}
 	}
 	for _, id := range notes.Silent {
 		if r := p.rows[id]; r != nil {
 			p.index.activate(r)
-			r.silent = true
+			r.noHeartbeat = true
 		}
 	}
 }
 
-// SetTotalLoads takes the work of all routers together, this one's among it, as it was
-// age ago in the mean. Without engines, what was heard of those stays.
+// SetTotalLoads sets the loads of all routers, including this one, which are age old on average. If
+// engines is false, the loads do not cover engines and the previous ones of these remain.
 func (p *Pool) SetTotalLoads(now time.Duration, loads []coordapi.Load, age time.Duration, engines bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range p.rows {
 		if engines || !r.IsEngine() {
-			r.others = coordapi.Load{}
+			r.otherLoad = coordapi.Load{}
 		}
 	}
 	for _, l := range loads {
 		if r := p.rows[l.ID]; r != nil {
 			p.index.activate(r)
-			r.others = coordapi.Load{Running: max(l.Running-r.told.Running, 0), Memory: max(l.Memory-r.told.Memory, 0),
-				Prompt: max(l.Prompt-r.told.Prompt, 0)}
+			r.otherLoad = coordapi.Load{Running: max(l.Running-r.reportedLoad.Running, 0), Memory: max(l.Memory-r.reportedLoad.Memory, 0),
+				Prompt: max(l.Prompt-r.reportedLoad.Prompt, 0)}
 		}
 	}
-	p.othersAt, p.othersAge = now, age
+	p.loadsAt, p.loadsAge = now, age
 }
 
-// age is how old the others' work is.
-func (p *Pool) age(now time.Duration) time.Duration { return now - p.othersAt + p.othersAge }
+// age returns the age of the other routers' loads.
+func (p *Pool) age(now time.Duration) time.Duration { return now - p.loadsAt + p.loadsAge }
 
-// OwnLoads returns this router's work under way.
+// OwnLoads returns the load of this router's requests in flight.
+// The next call of SetTotalLoads subtracts it from the totals.
 func (p *Pool) OwnLoads() []coordapi.Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []coordapi.Load
 	for id, r := range p.rows {
-		r.told = coordapi.Load{ID: id, Running: r.running, Memory: r.memory, Prompt: r.prefill, Engine: r.IsEngine()}
+		r.reportedLoad = coordapi.Load{ID: id, Running: r.running, Memory: r.memory, Prompt: r.prefillTokens, Engine: r.IsEngine()}
 		if r.running > 0 {
-			out = append(out, r.told)
+			out = append(out, r.reportedLoad)
 		}
 	}
 	return out
 }
 
-// Refused returns how many requests found all engines behind since the last call.
+// Refused returns and resets the number of requests that no
+// engine could start within their patience.
 func (p *Pool) Refused() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -262,13 +262,13 @@
 	return n
 }
 
-// AddressOf returns where an engine is reached that holds a version of a model,
-// empty when it does not or is not heard of.
+// AddressOf returns the address of an engine that holds a version of a model. It is empty if the
+// engine does not hold it, loads weights or is not reachable.
 func (p *Pool) AddressOf(id, model string, version int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.rows[id]
-	if r == nil || r.silent || r.wrong || r.Loading != nil {
+	if r == nil || r.noHeartbeat || r.wrongInstance || r.Loading != nil {
 		return ""
 	}
 	if held, holds := r.Weights[model]; !holds || held != version {
--- a/internal/backends/pool_test.go
+++ b/internal/backends/pool_test.go
@@ -35,7 +35,7 @@
 	return choice
 }
 
-func TestAHomeIsTheSameInEveryRouter(t *testing.T) {
+func TestHomeIsIndependentOfRowOrder(t *testing.T) {
 	rows := []state.Backend{engine("x", 1), engine("y", 1), engine("z", 1)}
 	first := mustChoose(t, newTestPool(rows...), 0, query())
 	rows[0], rows[2] = rows[2], rows[0]
@@ -44,9 +44,8 @@
 	assert.Assert(t, first.Home)
 }
 
-// An engine whose requests show no first event has fallen behind. What it had been
-// sent counted as read at its speed all the same, and it got more.
-func TestAnEngineThatShowsNothingIsNotTakenToReadOn(t *testing.T) {
+// Guards against assuming that an engine makes progress although its first events are overdue.
+func TestPrefillProgressIsCappedWithoutReports(t *testing.T) {
 	p := NewCentralPool()
 	p.Apply([]state.Backend{engine("x", 1)}, nil, true)
 	ahead := func(now time.Duration) int { return mustChoose(t, p, now, query()).Ahead }
@@ -57,18 +56,17 @@
 		attempts = append(attempts, p.Begin(0, &choice, &q, func(error) {}))
 	}
 	assert.Equal(t, ahead(0), 60_000)
-	assert.Equal(t, ahead(100*time.Millisecond), 56_000, "40 tokens a millisecond, as assumed at first")
-	assert.Equal(t, ahead(3*time.Second), 60_000-16_000, "for longer than reports take")
+	assert.Equal(t, ahead(100*time.Millisecond), 56_000, "at the initial estimate of 40 tokens per millisecond")
+	assert.Equal(t, ahead(3*time.Second), 60_000-16_000, "progress is assumed for two mean report delays only")
 	attempts[0].FirstEventReported(3*time.Second, 2900*time.Millisecond)
-	assert.Equal(t, ahead(3*time.Second), 40_000-4_000, "read on from its last first event")
+	assert.Equal(t, ahead(3*time.Second), 40_000-4_000, "progress resumes at the last first event")
 	attempts[1].End(3 * time.Second)
 	attempts[2].End(3 * time.Second)
 	assert.Equal(t, ahead(3*time.Second), 0)
 }
 
-// A back end that crashes comes back at its address under another ID. Half of
-// all keys moved with each such start.
-func TestAnEngineThatStartsAgainGetsItsKeysBack(t *testing.T) {
+// Guards against moving keys when an engine restarts with a new ID at its address.
+func TestRestartedEngineKeepsItsKeys(t *testing.T) {
 	again := engine("y", 1)
 	again.ID = "y2"
 	before, after := newTestPool(engine("x", 1), engine("y", 1), engine("z", 1)), newTestPool(engine("x", 1), again, engine("z", 1))
@@ -79,8 +77,8 @@
 	}
 }
 
-// A silent home was named as the source of kept prompts, and engines waited for it.
-func TestASilentEngineIsNoHome(t *testing.T) {
+// Guards against fetching cached prompts from a home that no longer responds.
+func TestHomeExcludesEngineWithoutHeartbeat(t *testing.T) {
 	p := newTestPool(engine("x", 1), engine("y", 1), engine("z", 1))
 	home := mustChoose(t, p, 0, query())
 	p.ApplyNotes(coordapi.Notes{Silent: []string{home.ID}})
@@ -89,7 +87,7 @@
 	assert.Equal(t, next.HomeAddress, next.Address)
 }
 
-func TestABusyHomeSpillsAndNamesTheHome(t *testing.T) {
+func TestBusyHomeSpillsOverAndReturnsHomeAddress(t *testing.T) {
 	p := newTestPool(engine("x", 1), engine("y", 1), engine("z", 1))
 	q := query()
 	home := mustChoose(t, p, 0, q)
@@ -102,7 +100,7 @@
 	assert.Equal(t, spilled.HomeAddress, home.Address)
 }
 
-func TestFiltersAreNeverOverruled(t *testing.T) {
+func TestChooseReturnsNoIneligibleEngine(t *testing.T) {
 	draining, loading := engine("d", 2), engine("l", 2)
 	draining.Draining = true
 	loading.Loading = &state.Loading{Model: "m", Version: 3}
@@ -113,7 +111,7 @@
 	assert.Assert(t, !found)
 }
 
-func TestSuspicionNeverEmptiesAPool(t *testing.T) {
+func TestChooseFallsBackToFailingEngines(t *testing.T) {
 	p := newTestPool(engine("x", 1), engine("y", 1))
 	p.ApplyNotes(coordapi.Notes{Silent: []string{"x", "y"}})
 	for range 10 {
@@ -125,19 +123,18 @@
 	mustChoose(t, p, 0, query())
 }
 
-// Answers of replaced weights lose a part of their worth: requests go to the
-// newest weights, and to others only when those are busy.
-func TestTheNewestWeightsAreChosenWhileTheyCanServe(t *testing.T) {
+// Requests go to the preferred weights, and to older ones only when those engines are overloaded.
+func TestPreferredWeightsWinUntilOverloaded(t *testing.T) {
 	p := newTestPool(engine("a", 1), engine("b", 2))
 	p.ApplyNotes(coordapi.Notes{Preferred: map[string]int{"m": 2}})
 	q := query()
 	q.Target = 600 * time.Millisecond
 	for i := range 30 {
-		// Half of the keys would have their home at a, which also wins ties.
+		// Half of the keys would otherwise have their home at a, which also wins ties.
 		q.Key = strconv.Itoa(i)
 		choice := mustChoose(t, p, 0, q)
 		assert.Equal(t, choice.ID, "b")
-		assert.Assert(t, choice.Home, "each version has homes of its own")
+		assert.Assert(t, choice.Home, "each version has its own home")
 	}
 	busy := mustChoose(t, p, 0, q)
 	for range 10 {
@@ -146,9 +143,8 @@
 	assert.Equal(t, mustChoose(t, p, 0, q).ID, "a")
 }
 
-// Seventy routers sent all that they had to the first engines with new weights
-// before the loads that they share showed it.
-func TestFewEnginesWithNewWeightsTakeAShareOfTheKeys(t *testing.T) {
+// Guards against overload of the first engines with new weights.
+func TestPreferredWeightsTakeBoundedShareOfKeys(t *testing.T) {
 	rows := []state.Backend{engine("new", 2)}
 	for i := range 9 {
 		rows = append(rows, engine("old"+strconv.Itoa(i), 1))
@@ -164,13 +160,12 @@
 			taken++
 		}
 	}
-	// Twice its share, and its share of the other keys.
+	// Twice its share of the keys, and its share of the others.
 	assert.Assert(t, taken > 230 && taken < 330, "%d", taken)
 }
 
-// With engines that read a third as fast demand piled up at them until little
-// came out in time.
-func TestARequestIsLateWhenAllEnginesAreBehind(t *testing.T) {
+// Guards against queues that grow without bound when all engines are slow.
+func TestChoiceIsLateWhenNoEngineMeetsPatience(t *testing.T) {
 	p := newTestPool(engine("x", 1), engine("y", 1))
 	q := query()
 	q.Patience = 200 * time.Millisecond
@@ -179,24 +174,23 @@
 	}
 	home := mustChoose(t, p, 0, q)
 	assert.Assert(t, !home.Late)
-	// 40 tokens a millisecond are assumed at first.
+	// The initial estimate is 40 tokens per millisecond.
 	fill(home.ID, 8100)
 	other := mustChoose(t, p, 0, q)
-	assert.Assert(t, other.ID != home.ID && !other.Late, "the one that is not behind takes it")
+	assert.Assert(t, other.ID != home.ID && !other.Late, "the engine that is not behind is chosen")
 	fill(other.ID, 12000)
 	late := mustChoose(t, p, 0, q)
 	assert.Assert(t, late.Late)
 	assert.Equal(t, late.ID, home.ID)
 	assert.Equal(t, p.Refused(), 1)
-	assert.Equal(t, p.Refused(), 0, "each is told once")
+	assert.Equal(t, p.Refused(), 0, "each request is counted once")
 	assert.Equal(t, late.Wait.Round(time.Millisecond), 203*time.Millisecond)
 	q.Patience = 0
-	assert.Assert(t, !mustChoose(t, p, 0, q).Late, "a request without patience waits")
+	assert.Assert(t, !mustChoose(t, p, 0, q).Late, "no patience means no limit")
 }
 
-// A request that waited 3.3 s in an engine's queue began on weights whose time
-// was over.
-func TestAWaitingAttemptIsGivenUpWhenItsWeightsExpire(t *testing.T) {
+// Guards against requests that begin on expired weights after a long wait in an engine's queue.
+func TestExpiryCancelsUnstartedAttempts(t *testing.T) {
 	p := newTestPool(engine("x", 1))
 	q := query()
 	choice := mustChoose(t, p, 0, q)
@@ -210,8 +204,8 @@
 	assert.NilError(t, begun)
 }
 
-// An answer that turns a request away comes at once and says nothing of reading.
-func TestOnlyARunTeachesTheReadingSpeed(t *testing.T) {
+// A rejection returns at once, so its latency is no sample of the prefill rate.
+func TestPrefillRateIgnoresFailedResponses(t *testing.T) {
 	p := newTestPool(engine("x", 1))
 	q := query()
 	q.Work.Prompt = 8000
@@ -230,7 +224,7 @@
 	assert.Assert(t, rate > 9 && rate < 14, "%v", rate)
 }
 
-func TestWhatAnEndedAttemptTookIsFree(t *testing.T) {
+func TestEndReleasesLoad(t *testing.T) {
 	p := newTestPool(engine("x", 1))
 	q := query()
 	choice := mustChoose(t, p, 0, q)
@@ -238,12 +232,11 @@
 	a.Begun(0, true)
 	a.End(0)
 	row := p.rows["x"]
-	assert.Equal(t, row.running+row.memory+row.prefill+len(p.waiting), 0)
+	assert.Equal(t, row.running+row.memory+row.prefillTokens+len(p.waiting), 0)
 }
 
-// What is known of a prompt is looked up once for a version, not once for each
-// candidate, and anew for each choice.
-func TestAChoiceAsksOnceForAVersionWhatIsCold(t *testing.T) {
+// UncachedTokens is called once per version and choice, not once per candidate.
+func TestUncachedTokensIsCalledOncePerVersion(t *testing.T) {
 	p := newTestPool(engine("w", 1), engine("x", 1), engine("y", 2), engine("z", 2))
 	q := query()
 	asked := map[int]int{}
@@ -259,10 +252,8 @@
 	}
 }
 
-// An engine whose places are taken begins a request only when one becomes free. At
-// 16 places and runs of 3 s, engines that lacked a quarter of their number were
-// sent more than they had places for, and all waited.
-func TestAWaitForAPlaceCountsAsAWait(t *testing.T) {
+// Guards against sending more requests to engines than they have slots for.
+func TestPatienceIncludesSlotWait(t *testing.T) {
 	p := NewCentralPool()
 	p.Apply([]state.Backend{engine("x", 1), engine("y", 1)}, nil, true)
 	begin := func(id string, at time.Duration) *Attempt {
@@ -289,7 +280,7 @@
 	for range query().Slots {
 		begin("y", 0)
 	}
-	// One of eight places becomes free each quarter of a second.
+	// With eight slots, one becomes free every quarter of a second.
 	late := ask(200 * time.Millisecond)
 	assert.Assert(t, late.Late)
 	assert.Assert(t, late.Wait > 240*time.Millisecond && late.Wait <= 250*time.Millisecond, "%v", late.Wait)
@@ -298,10 +289,9 @@
 	assert.Equal(t, ask(100*time.Millisecond).ID, "x")
 }
 
-// A prompt that takes an engine as long to read as its streams may pause goes to
-// the one with the fewest streams, also away from its home. All streams of an
-// engine that read one of 20,000 tokens were late.
-func TestALargePromptGoesWhereFewStreamsPause(t *testing.T) {
+// A prompt whose prefill exceeds the gap target of streams goes to the engine with the fewest
+// streams, even if that is not its home.
+func TestLargePromptAvoidsEngineWithStreams(t *testing.T) {
 	p := NewCentralPool()
 	p.Apply([]state.Backend{engine("x", 1), engine("y", 1)}, nil, true)
 	q := query()
@@ -312,9 +302,9 @@
 		a := p.Begin(0, &Choice{ID: home}, &stream, func(error) {})
 		a.FirstEventReported(0, time.Millisecond)
 	}
-	assert.Equal(t, mustChoose(t, p, 0, q).ID, home, "a short one stays at home")
+	assert.Equal(t, mustChoose(t, p, 0, q).ID, home, "a short prompt stays at its home")
 	q.Work.Prompt = 20_000
 	assert.Assert(t, mustChoose(t, p, 0, q).ID != home)
 	q.GapTarget = 0
-	assert.Equal(t, mustChoose(t, p, 0, q).ID, home, "streams may pause for any time")
+	assert.Equal(t, mustChoose(t, p, 0, q).ID, home, "without a gap target")
 }
--- a/internal/backends/preferred.go
+++ b/internal/backends/preferred.go
@@ -6,13 +6,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// preferredLoad is how much more than their share of the requests engines with
-// the newest weights may get.
+// preferredLoad is the greatest multiple of their share of the
+// requests that engines with the preferred weights get.
 const preferredLoad = 2
 
-// preferred returns the version below which engines cost more for this query.
-// While few engines hold it they take some keys only: all routers would send
-// them more than they can do before the loads that they share show it.
+// preferred returns the version below which engines cost more for this query, or 0. While few
+// engines hold that version, only a share of the keys prefers it: otherwise all routers would
+// overload these engines before the exchanged loads show it.
 func (p *Pool) preferred(q *Query, candidates []candidate) int {
 	version := p.notes.Preferred[q.Model]
 	if version == 0 {
@@ -21,11 +21,11 @@
 	holding := 0
 	for i := range candidates {
 		if candidates[i].Weights[q.Model] >= version {
-			holding += candidates[i].stands
+			holding += candidates[i].represents
 		}
 	}
-	// A share of the hashes of keys.
-	share := preferredLoad * float64(holding) / float64(standing(candidates))
+	// The share of the keys, compared with the hash of this one.
+	share := preferredLoad * float64(holding) / float64(countRepresented(candidates))
 	if float64(xxhash.Sum64String(q.Key)) >= share*math.MaxUint64 {
 		return 0
 	}
--- a/internal/backends/pushback.go
+++ b/internal/backends/pushback.go
@@ -7,14 +7,13 @@
 	"quinceridge.example/quinceridge/internal/pushback"
 )
 
-// standing is what a back end wants from this process.
-func (p *Pool) standing(id string) pushback.Standing {
+// pushbackState returns the pushback of a back end against this process.
+func (p *Pool) pushbackState(id string) pushback.Standing {
 	return p.pushbacks.Standing(coordapi.BackendID(id))
 }
 
-// RetryAfter is how long it takes until the first back end of a query's pool may be sent to
-// again, if all that could serve it want nothing now; 0 if one may be sent to, or none
-// will be.
+// RetryAfter returns the time until the first eligible back end of the query's pool accepts
+// requests again, or 0 if one does now or none will.
 func (p *Pool) RetryAfter(now time.Duration, q *Query) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -23,8 +22,8 @@
 		if r.Pool != q.Pool || !p.mayServe(r, q) {
 			continue
 		}
-		s := p.standing(r.ID)
-		wait := max(s.Wait, r.fullUntil-now)
+		s := p.pushbackState(r.ID)
+		wait := max(s.Wait, r.limitedUntil-now)
 		switch {
 		case !s.Draining && wait <= 0:
 			return 0
@@ -35,25 +34,20 @@
 	return first
 }
 
-// PushedBack notes that a back end has asked a router for a wait. For that one it is out
-// of the choice; others prefer those that have not: it may turn away only some. Of 10,000
-// requests beside four of twelve engines that shed all for nine seconds, 566 were turned
-// away with nothing known, 256 with the wait known to who was asked, 49 with the preference
-// (TestASurgeBesideEnginesThatPushBack; 145, 103 and 46 where they shed a tenth). After
-// the wait it is tried with one request at a time until it has begun one, so that a back
-// end that is still full turns one away and not one of each router's, and one that is
-// well again does not get at once what a third of its pool left to the others.
+// PushedBack records that a back end has asked a router to wait. A central pool then prefers other
+// back ends for all routers until the wait is over. After that, the back end gets one trial request
+// at a time until it begins one, so that it is not flooded while it recovers.
 func (p *Pool) PushedBack(now time.Duration, id string, wait time.Duration) {
-	p.with(id, func(r *row) {
-		if p.drains {
-			r.pushedBack = max(r.pushedBack, now+wait)
+	p.update(id, func(r *row) {
+		if p.central {
+			r.pushedBackUntil = max(r.pushedBackUntil, now+wait)
 		}
 		r.recovering = true
 	})
 }
 
-// aside tells whether a back end stands back while there are others since it has pushed
-// back.
-func (r *row) aside(now time.Duration) bool {
-	return now < r.pushedBack || (r.recovering && r.trials > 0)
+// lastResort reports whether a back end is to be chosen only
+// if there is no other, because of a pushback.
+func (r *row) lastResort(now time.Duration) bool {
+	return now < r.pushedBackUntil || (r.recovering && r.trials > 0)
 }
--- a/internal/backends/quiet.go
+++ b/internal/backends/quiet.go
@@ -7,48 +7,47 @@
 )
 
 const (
-	// quietTime is how much longer than it reads an engine with waiting requests
-	// may show no sign of life: routers report first events within a second.
-	quietTime = time.Second
-	// quietLeast is how many requests must wait for it: one may be held up by
-	// something else.
-	quietLeast = 3
+	// firstEventGrace is the time without a first event, beyond the
+	// expected prefill time, after which an engine with waiting requests
+	// counts as unresponsive. It exceeds the routers' report interval.
+	firstEventGrace = time.Second
+	// minUnanswered is the least number of waiting requests: a
+	// single one may be delayed for other reasons.
+	minUnanswered = 3
 )
 
 const (
-	// firstReportDelay is assumed before reports were heard: routers have something to
-	// say to the leader several times a second.
-	firstReportDelay = 200 * time.Millisecond
-	// reportGain is the weight of one report in the mean delay, and reportFactor how
-	// many times the mean a report may take.
-	reportGain   = 0.02
-	reportFactor = 2
+	// initialReportDelay is the report delay assumed before the first report.
+	initialReportDelay = 200 * time.Millisecond
+	// reportWeight is the weight of one report in the mean delay. maxReportDelays is the multiple
+	// of the mean after which a report is overdue.
+	reportWeight    = 0.02
+	maxReportDelays = 2
 )
 
-// await notes a request that an engine has not begun to answer.
-func (r *row) await(now time.Duration) {
-	if r.unbegun == 0 {
-		r.quietFrom, r.readFrom = now, now
+// recordSent records a request that the engine has not begun to answer.
+func (r *row) recordSent(now time.Duration) {
+	if r.unanswered == 0 {
+		r.lastProgress, r.prefillStart = now, now
 	}
-	r.unbegun++
+	r.unanswered++
 }
 
-// quiet tells whether an engine has stopped to answer, for all that routers have
-// reported. One that crashes without closing its connections says nothing; its
-// heartbeats are missed seconds later. It is asked again once those that wait for
-// it have given up.
-func (p *Pool) quiet(now time.Duration, r *row, rate speed.TokensPerMs) bool {
-	return p.drains && r.unbegun >= quietLeast && now-r.quietFrom > quietTime+rate.Wait(p.unreadOf(r.quietFrom, r, rate))
+// unresponsive reports whether an engine no longer answers, according to the routers' reports. This
+// detects a crash that leaves connections open sooner than missing heartbeats do. The engine is
+// eligible again once the waiting requests have ended.
+func (p *Pool) unresponsive(now time.Duration, r *row, rate speed.TokensPerMs) bool {
+	return p.central && r.unanswered >= minUnanswered && now-r.lastProgress > firstEventGrace+rate.Wait(p.remainingPrefill(r.lastProgress, r, rate))
 }
 
-// UnresponsiveEngines is how many engines have stopped to answer, for all that routers have
-// reported.
+// UnresponsiveEngines returns the number of engines that no
+// longer answer, according to the routers' reports.
 func (p *Pool) UnresponsiveEngines(now time.Duration) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
 	for _, r := range p.rows {
-		if r.IsEngine() && p.quiet(now, r, entry(p.reading, r.Pool).Rate()) {
+		if r.IsEngine() && p.unresponsive(now, r, entry(p.prefill, r.Pool).Rate()) {
 			n++
 		}
 	}
--- a/internal/backends/reading.go
+++ b/internal/backends/reading.go
@@ -6,47 +6,47 @@
 	"quinceridge.example/quinceridge/internal/speed"
 )
 
-// unreadOf is how many of the tokens sent to an engine it has not read. One that
-// shows no first event for longer than reports take has fallen behind: nothing more
-// counts as read then.
-func (p *Pool) unreadOf(now time.Duration, r *row, rate speed.TokensPerMs) int {
-	if !p.drains {
-		return r.prefill
+// remainingPrefill returns how many of the prompt tokens sent to an engine it has yet to process.
+// Progress is assumed only for as long as a report of the next first event may take.
+func (p *Pool) remainingPrefill(now time.Duration, r *row, rate speed.TokensPerMs) int {
+	if !p.central {
+		return r.prefillTokens
 	}
-	unheard := min(now-r.readFrom, reportFactor*p.reportDelay)
-	return max(r.prefill-rate.Tokens(max(unheard, 0)), 0)
+	elapsed := min(now-r.prefillStart, maxReportDelays*p.reportDelay)
+	return max(r.prefillTokens-rate.Tokens(max(elapsed, 0)), 0)
 }
 
-// Rate is how fast the engines of a pool read, and how uncertain that is, as a part of
-// it.
+// Rate is the prefill rate of the engines of a pool.
+// RelativeError is its standard error as a fraction of the rate.
 type Rate struct {
 	Speed         speed.TokensPerMs
 	RelativeError float64
 }
 
-// PrefillRates returns how fast the engines of each pool read, for all that is known.
+// PrefillRates returns the estimated prefill rate of each pool.
 func (p *Pool) PrefillRates() map[string]Rate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make(map[string]Rate, len(p.reading))
-	for pool, r := range p.reading {
+	out := make(map[string]Rate, len(p.prefill))
+	for pool, r := range p.prefill {
 		out[pool] = Rate{Speed: r.Rate(), RelativeError: r.RelativeError()}
 	}
 	return out
 }
 
 const (
-	// moveFactor is how many times longer than reading it a prompt may take from a
-	// store: what is read twice is lost work.
-	moveFactor = 2
-	// moveDivisor is the part of a request's target that it may take in any case.
-	moveDivisor = 4
+	// maxFetchFactor bounds the delay of a fetch from a store, as a multiple of the time that
+	// prefill of the same tokens takes: repeated prefill is lost work.
+	maxFetchFactor = 2
+	// fetchTargetDivisor is the divisor of the request's target
+	// that yields the delay a fetch may take in any case.
+	fetchTargetDivisor = 4
 )
 
-// MaxFetchDelay is the delay that taking the shared parts of a prompt from a store is
-// worth.
+// MaxFetchDelay returns the longest acceptable delay of
+// fetching the shared parts of a prompt from a store.
 func (p *Pool) MaxFetchDelay(q *Query) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(moveFactor*entry(p.reading, q.Pool).Rate().Wait(q.Shared), q.Target/moveDivisor)
+	return max(maxFetchFactor*entry(p.prefill, q.Pool).Rate().Wait(q.Shared), q.Target/fetchTargetDivisor)
 }
--- a/internal/backends/restart.go
+++ b/internal/backends/restart.go
@@ -2,28 +2,28 @@
 
 import "errors"
 
-// ErrRestarted is why an attempt is cancelled whose back end has started again since:
-// the start that ran it is over, whether its connection shows it or not.
-var ErrRestarted = errors.New("the back end has started again")
+// ErrRestarted is the cause of cancellation of an attempt whose back end has restarted. The attempt
+// cannot succeed, even if its connection stays open.
+var ErrRestarted = errors.New("the back end has restarted")
 
-func (r *row) opened(a *Attempt) {
-	if r.open == nil {
-		r.open = map[*Attempt]struct{}{}
+func (r *row) addAttempt(a *Attempt) {
+	if r.attempts == nil {
+		r.attempts = map[*Attempt]struct{}{}
 	}
-	r.open[a] = struct{}{}
+	r.attempts[a] = struct{}{}
 }
 
-// supersede gives up the attempts at earlier starts of a back end. Only rows of later
-// starts name their back end.
-func (p *Pool) supersede(successor *row) {
-	if p.drains || successor.Instance == "" {
+// cancelSuperseded cancels the attempts at earlier starts of a back end. Only rows with an instance
+// name can be matched with earlier starts.
+func (p *Pool) cancelSuperseded(successor *row) {
+	if p.central || successor.Instance == "" {
 		return
 	}
 	for _, r := range p.rows {
 		if r == successor || r.Name() != successor.Name() || r.Enrolled > successor.Enrolled {
 			continue
 		}
-		for a := range r.open {
+		for a := range r.attempts {
 			a.cancel(ErrRestarted)
 		}
 	}
--- a/internal/backends/scorer.go
+++ b/internal/backends/scorer.go
@@ -13,73 +13,69 @@
 
 // Costs in milliseconds.
 const (
-	// silentCost and failureCost keep work off back ends that may be lost, as
-	// long as there are others.
-	silentCost  = 4000
-	failureCost = 3000
-	// farCost is the cost of leaving the zone.
-	farCost = 4
-	// strangeCost is the cost of each shared token at a back end that is not
-	// the prompt's home, for the first step away and in part for each further
-	// one, up to rankLimit steps. It is above the time that a move takes: a copy
-	// takes memory that other prompts need.
-	strangeCost = 0.1
-	strangeStep = 0.25
-	rankLimit   = 4
-	// answerCost is the cost of an answer that becomes late, which is then worth about
-	// a third. It is as much as all steps away from home of a prompt with 7,000 shared
-	// tokens: those are a copy that costs memory, not an answer. Of 400, 800 and 1,400
-	// the last was best on six days of three deployments (docs/design/shifted.md).
-	answerCost = 1400
-	// decodeCost is the cost of one running request: it slows each step.
+	// noHeartbeatCost and failureCost keep requests off back ends
+	// that may have failed, as long as there are others.
+	noHeartbeatCost = 4000
+	failureCost     = 3000
+	// otherZoneCost is the cost of a back end in another zone.
+	otherZoneCost = 4
+	// awayCost is the cost per shared token of a back end that is not the home of the key. awayStep
+	// is the fraction added for each step down the order, up to rankLimit. Together they exceed the
+	// time of a transfer, since a copy also takes memory from other prompts.
+	awayCost  = 0.1
+	awayStep  = 0.25
+	rankLimit = 4
+	// lateAnswerCost is the cost of an answer that misses its target. It weighs as much as the cost
+	// of leaving the home with several thousand shared tokens.
+	lateAnswerCost = 1400
+	// decodeCost is the cost of one running request, which slows down each decode step.
 	decodeCost = 1.5
-	// crowdCost is the cost of a back end whose memory or slots are taken.
-	crowdCost = 400
-	// replacedShare is the cost of weights whose answers have lost a part of their
-	// worth, in targets of the request: about the delay that costs as much.
-	replacedShare = 0.25
-	// roomyShare is the part of an engine's memory that requests may take
-	// without a cost: the rest keeps prompts.
-	roomyShare = 0.6
+	// overloadCost is the cost of a back end whose memory or slots are exhausted.
+	overloadCost = 400
+	// outdatedShare is the cost of weights older than the
+	// preferred version, as a fraction of the request's target.
+	outdatedShare = 0.25
+	// freeMemoryShare is the fraction of an engine's memory that requests may take at no cost. The
+	// rest is left to cached prompts.
+	freeMemoryShare = 0.6
 )
 
-// typicalWork is the assumed time of a request to a pool without engines, until
-// some were answered.
-const typicalWork = 40 * time.Millisecond
+// typicalDuration is the request duration assumed for a pool before its first answer.
+const typicalDuration = 40 * time.Millisecond
 
-// cost is the scorer: the expected delay of the request at a candidate.
-func (p *Pool) cost(now time.Duration, q *Query, c *candidate, old staleness, rate speed.TokensPerMs, preferred int) float64 {
+// cost returns the cost of a candidate: the expected delay of the request plus penalties.
+func (p *Pool) cost(now time.Duration, q *Query, c *candidate, staleness loadStaleness, rate speed.TokensPerMs, preferred int) float64 {
 	total := failureCost * c.rate(now)
-	if c.silent {
-		total += silentCost
+	if c.noHeartbeat {
+		total += noHeartbeatCost
 	}
 	if c.Zone != cmp.Or(q.Zone, p.zone) {
-		total += farCost
+		total += otherZoneCost
 	}
 	if q.Slots == 0 {
-		return total + loadCost(float64(c.running)+old.kept*float64(c.others.Running), c) + c.latency/4
+		return total + loadCost(float64(c.running)+staleness.stillRunning*float64(c.otherLoad.Running), c) + c.latency/4
 	}
-	reading := float64(rate.Wait(c.ahead+q.unread(c.Weights[q.Model]))) / float64(time.Millisecond)
-	total += reading + lateCost(q, c, reading)
-	total += float64(c.running+c.others.Running) * decodeCost
-	total += crowdCost * crowding(q, c)
+	prefill := float64(rate.Wait(c.ahead+q.tokensToPrefill(c.Weights[q.Model]))) / float64(time.Millisecond)
+	total += prefill + lateCost(q, c, prefill)
+	total += float64(c.running+c.otherLoad.Running) * decodeCost
+	total += overloadCost * overload(q, c)
 	if c.Weights[q.Model] < preferred {
-		total += replacedShare * float64(q.Target.Milliseconds())
+		total += outdatedShare * float64(q.Target.Milliseconds())
 	}
 	if q.Key != "" && c.rank > 0 {
-		total += strangeCost * float64(q.Shared) * (1 + strangeStep*float64(min(c.rank, rankLimit)))
+		total += awayCost * float64(q.Shared) * (1 + awayStep*float64(min(c.rank, rankLimit)))
 	}
 	return total
 }
 
-// lateCost is the cost of what reading makes late: the request itself, and the
-// streams that the engine serves, since it reads between their tokens.
-func lateCost(q *Query, c *candidate, reading float64) float64 {
-	streams := float64(max(c.running+c.others.Running-c.unbegun, 0))
-	return answerCost * (lateness(reading, q.Target) + streams*lateness(reading, q.GapTarget))
+// lateCost returns the cost of targets missed because of the prefill: that of the request itself
+// and those of the streams that it interrupts.
+func lateCost(q *Query, c *candidate, prefill float64) float64 {
+	streams := float64(max(c.running+c.otherLoad.Running-c.unanswered, 0))
+	return lateAnswerCost * (lateness(prefill, q.Target) + streams*lateness(prefill, q.GapTarget))
 }
 
-// lateness rises from 0 at half of a limit to 1 at the limit; 0 means no limit.
+// lateness rises from 0 at half of the limit to 1 at the limit. A limit of 0 means none.
 func lateness(delay float64, limit time.Duration) float64 {
 	if limit <= 0 {
 		return 0
@@ -87,46 +83,44 @@
 	return min(max(2*delay/float64(limit.Milliseconds())-1, 0), 1)
 }
 
-// loadCost is the delay by requests that run at a back end without engines: the
-// more places it has, the less each of them delays a further one.
+// loadCost returns the delay caused by the requests that run at a back end without engines. It is
+// inversely proportional to the number of slots.
 func loadCost(running float64, c *candidate) float64 {
-	return running * float64(typicalWork.Milliseconds()) / float64(max(c.Slots, 1))
+	return running * float64(typicalDuration.Milliseconds()) / float64(max(c.Slots, 1))
 }
 
-// crowding is how far the request would overfill an engine's memory or slots:
-// 0 while there is room.
-func crowding(q *Query, c *candidate) float64 {
+// overload returns by how much the request would exceed an
+// engine's memory and slots, or 0 while there is room.
+func overload(q *Query, c *candidate) float64 {
 	over := 0.0
 	if q.Capacity > 0 {
-		over += max(0, float64(c.memory+c.others.Memory+q.Work.Most)/float64(q.Capacity)-roomyShare)
+		over += max(0, float64(c.memory+c.otherLoad.Memory+q.Work.Most)/float64(q.Capacity)-freeMemoryShare)
 	}
-	return over + max(0, float64(c.running+c.others.Running+1)/float64(q.Slots)-1)
+	return over + max(0, float64(c.running+c.otherLoad.Running+1)/float64(q.Slots)-1)
 }
 
-// ranking is the order of a key's candidates with one version of the weights.
+// ranking is the order of the candidates that hold one weights version, for a key.
 type ranking struct {
 	version int
-	// holder is the engine that has the key's part, empty for none.
+	// holder is the ID of the engine that holds the cached part of the key, or empty.
 	holder string
-	firsts[*candidate]
+	topRanked[*candidate]
 }
 
-// firsts are the first rankLimit of an order by falling weight; of equal weights the lower
-// ID comes first.
-type firsts[T interface{ id() string }] struct {
+// topRanked keeps the first rankLimit items by falling weight; the lower ID wins a tie.
+type topRanked[T interface{ id() string }] struct {
 	best    []T
 	weights []uint64
 }
 
-// id is the back end's ID.
+// id returns the ID of the back end.
 func (r *row) id() string { return r.ID }
 
-// rank orders the candidates by rendezvous hashing of the key, so that all
-// routers agree on a key's home and a lost back end moves only its own keys. A
-// back end that starts again at its address gets the same keys back. With
-// versions each version of the weights is ranked by itself, and has a home of its
-// own. An engine that has the key's part comes first. It returns the first
-// candidate of each version: what an engine keeps was made with its own weights.
+// rank orders the candidates by rendezvous hashing of the key and sets their ranks. All routers
+// agree on the home of a key, and the loss of a back end moves only its own keys. Back ends are
+// hashed by address, so that a restarted one keeps its keys. The holder of the key's cached part
+// comes first. If versions is set, each weights version is ranked separately. rank returns the
+// first candidate of each version.
 func rank(q *Query, candidates []candidate, versions bool) map[int]*row {
 	if q.Key == "" {
 		return nil
@@ -138,7 +132,7 @@
 		c := &candidates[i]
 		c.rank = rankLimit
 		r := rankingOf(&rankings, c.Weights[q.Model], q)
-		weight := mixed(hash ^ c.hash)
+		weight := mix64(hash ^ c.hash)
 		if c.ID == r.holder {
 			weight = math.MaxUint64
 		}
@@ -149,16 +143,16 @@
 	for _, r := range rankings {
 		homes[r.version] = r.best[0].row
 		if versions {
-			r.number()
+			r.assignRanks()
 		}
 	}
 	if !versions {
-		all.number()
+		all.assignRanks()
 	}
 	return homes
 }
 
-// rankingOf returns the ranking of a version.
+// rankingOf returns the ranking of a version and adds it if it is missing.
 func rankingOf(rankings *[]*ranking, version int, q *Query) *ranking {
 	for _, r := range *rankings {
 		if r.version == version {
@@ -173,8 +167,8 @@
 	return r
 }
 
-// add puts one into its place, if it is among the first.
-func (f *firsts[T]) add(item T, weight uint64) {
+// add inserts an item if it is among the first.
+func (f *topRanked[T]) add(item T, weight uint64) {
 	at := len(f.best)
 	for at > 0 && (weight > f.weights[at-1] || (weight == f.weights[at-1] && item.id() < f.best[at-1].id())) {
 		at--
@@ -188,15 +182,15 @@
 	}
 }
 
-// number tells the candidates their places.
-func (r *ranking) number() {
+// assignRanks sets the ranks of the candidates.
+func (r *ranking) assignRanks() {
 	for i, c := range r.best {
 		c.rank = i
 	}
 }
 
-// mixed spreads a hash over all bits (the finalizer of SplitMix64).
-func mixed(x uint64) uint64 {
+// mix64 is the finalizer of SplitMix64, which spreads a hash over all bits.
+func mix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
--- a/internal/backends/shard_test.go
+++ b/internal/backends/shard_test.go
@@ -11,9 +11,9 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// narrowed returns a router's pool of 100 engines and a plain back end that has been
-// narrowed to a shard, and an engine outside it.
-func narrowed(t *testing.T, shard coordapi.Shard, before func(p *Pool)) (*Pool, state.Backend) {
+// newShardPool returns a router's pool of 100 engines and one other back end that has been
+// restricted to a shard, and an engine outside the shard.
+func newShardPool(t *testing.T, shard coordapi.Shard, before func(p *Pool)) (*Pool, state.Backend) {
 	t.Helper()
 	p := NewPool("a")
 	rows := []state.Backend{{ID: "plain", Pool: "api", Address: "a:0"}}
@@ -31,13 +31,13 @@
 	return p, outside
 }
 
-func placedAt(b state.Backend) *Choice {
+func placementAt(b state.Backend) *Choice {
 	return &Choice{ID: b.ID, Address: b.Address, Version: 1, Versioned: true, Placement: 7, Work: Work{Prompt: 10, Most: 20}}
 }
 
-func TestANarrowedPoolKeepsItsShardAndAllPlainBackEnds(t *testing.T) {
+func TestShardPoolKeepsShardAndNonEngines(t *testing.T) {
 	shard := coordapi.Shard{Index: 1, Count: 4}
-	p, _ := narrowed(t, shard, func(*Pool) {})
+	p, _ := newShardPool(t, shard, func(*Pool) {})
 	assert.Assert(t, p.rows["plain"] != nil)
 	assert.Assert(t, len(p.rows) > 2 && len(p.rows) < 60, "%d rows", len(p.rows))
 	for id := range p.rows {
@@ -45,12 +45,12 @@
 	}
 }
 
-// The leader places requests at engines of which their router is told nothing. What
-// becomes of them must reach the leader, and nothing else may go there.
-func TestAnEngineOfAnotherShardIsThereForItsPlacements(t *testing.T) {
-	p, outside := narrowed(t, coordapi.Shard{Index: 1, Count: 4}, func(*Pool) {})
+// The leader may place requests at engines outside the router's shard. Their failures must be
+// reported to the leader, and the router must not choose them by itself.
+func TestUnlistedEngineTracksItsPlacements(t *testing.T) {
+	p, outside := newShardPool(t, coordapi.Shard{Index: 1, Count: 4}, func(*Pool) {})
 	q := &Query{Pool: "llm", Model: "m", Slots: 16}
-	a := p.Begin(0, placedAt(outside), q, func(error) {})
+	a := p.Begin(0, placementAt(outside), q, func(error) {})
 	assert.Equal(t, len(p.OwnLoads()), 1)
 	assert.Assert(t, p.OwnLoads()[0].Engine)
 	p.Failed(time.Second, outside.ID)
@@ -66,13 +66,13 @@
 	assert.Assert(t, p.rows[outside.ID] == nil)
 }
 
-// A request that was sent before the pool was narrowed is accounted for to its end.
-func TestRequestsUnderWayOutliveTheNarrowing(t *testing.T) {
+// A request sent before the restriction is tracked until it ends.
+func TestRestrictToShardKeepsRunningAttempts(t *testing.T) {
 	for _, whole := range []bool{false, true} {
 		shard := coordapi.Shard{Index: 1, Count: 4}
-		_, outside := narrowed(t, shard, func(*Pool) {})
+		_, outside := newShardPool(t, shard, func(*Pool) {})
 		var a *Attempt
-		p, _ := narrowed(t, shard, func(p *Pool) { a = p.Begin(0, placedAt(outside), &Query{Pool: "llm", Model: "m"}, func(error) {}) })
+		p, _ := newShardPool(t, shard, func(p *Pool) { a = p.Begin(0, placementAt(outside), &Query{Pool: "llm", Model: "m"}, func(error) {}) })
 		if whole {
 			p.Apply([]state.Backend{{ID: "plain", Pool: "api"}}, nil, true)
 		}
@@ -84,10 +84,10 @@
 	}
 }
 
-// An engine that comes into the shard while a placement is under way is as any other.
-func TestAnUnlistedEngineThatIsToldOfIsListed(t *testing.T) {
-	p, outside := narrowed(t, coordapi.Shard{Index: 1, Count: 4}, func(*Pool) {})
-	a := p.Begin(0, placedAt(outside), &Query{Pool: "llm", Model: "m"}, func(error) {})
+// An unlisted engine that the coordinators list again behaves like any other.
+func TestApplyListsUnlistedEngine(t *testing.T) {
+	p, outside := newShardPool(t, coordapi.Shard{Index: 1, Count: 4}, func(*Pool) {})
+	a := p.Begin(0, placementAt(outside), &Query{Pool: "llm", Model: "m"}, func(error) {})
 	p.Apply([]state.Backend{outside}, nil, false)
 	a.End(time.Second)
 	assert.Assert(t, p.rows[outside.ID] != nil)
--- a/internal/backends/spread.go
+++ b/internal/backends/spread.go
@@ -10,68 +10,67 @@
 )
 
 const (
-	// flowTime is the time over which arrivals are averaged.
-	flowTime = 5 * time.Second
-	// workGain is the weight of one answer in the mean time of answers.
-	workGain = 0.05
+	// flowWindow is the time constant of the average arrival rate.
+	flowWindow = 5 * time.Second
+	// durationWeight is the weight of one answer in the mean duration of requests.
+	durationWeight = 0.05
 )
 
-// flow follows the requests that this router sends to a pool, with weights that
-// fall over flowTime, and how long they take. The zero value is ready.
+// flow keeps statistics of the requests that this router sends to a pool: the arrival rate, with
+// exponential decay, and the mean duration. The zero value is ready to use.
 type flow struct {
 	count decay.Sum
-	// work is the mean time of a request; 0 before the first answer.
-	work time.Duration
+	// meanDuration is the mean duration of a request, or 0 before the first answer.
+	meanDuration time.Duration
 }
 
 // sent counts a request.
-func (f *flow) sent(now time.Duration) { f.count.Add(now, flowTime, 1) }
+func (f *flow) sent(now time.Duration) { f.count.Add(now, flowWindow, 1) }
 
-// rate is how many requests come in a second. The one that is being decided
-// counts, so that a router that has just started takes part.
+// rate returns the arrival rate in requests per second. It includes the request that is being
+// placed, so that it is never 0.
 func (f *flow) rate(now time.Duration) float64 {
-	return (f.count.Value(now, flowTime) + 1) / flowTime.Seconds()
+	return (f.count.Value(now, flowWindow) + 1) / flowWindow.Seconds()
 }
 
-// ended takes how long a request took.
+// ended records the duration of a request.
 func (f *flow) ended(took time.Duration) {
 	mean := f.mean()
-	f.work = mean + time.Duration(workGain*float64(took-mean))
+	f.meanDuration = mean + time.Duration(durationWeight*float64(took-mean))
 }
 
-// mean is how long a request takes.
+// mean returns the mean duration of a request.
 func (f *flow) mean() time.Duration {
-	if f.work == 0 {
-		return typicalWork
+	if f.meanDuration == 0 {
+		return typicalDuration
 	}
-	return f.work
+	return f.meanDuration
 }
 
-// staleness says what loads that routers shared some time ago are still worth.
-type staleness struct {
-	// kept is the part of the requests seen then that is still running.
-	kept float64
-	// unseen is how many requests other routers have sent since that are running
-	// now.
+// loadStaleness describes how the loads exchanged between routers have changed since.
+type loadStaleness struct {
+	// stillRunning is the fraction of the exchanged requests that are still running.
+	stillRunning float64
+	// unseen is the number of running requests that other routers have sent since.
 	unseen float64
 }
 
-// stale reckons it: requests come at the same rate at each router, and end after
-// a time that is exponentially distributed.
-func (f *flow) stale(now, age time.Duration, routers int) staleness {
-	kept := math.Exp(-float64(age) / float64(f.mean()))
+// estimateStaleness estimates the changes in loads of the given age. It assumes the same arrival
+// rate at each router and exponentially distributed durations.
+func (f *flow) estimateStaleness(now, age time.Duration, routers int) loadStaleness {
+	stillRunning := math.Exp(-float64(age) / float64(f.mean()))
 	others := f.rate(now) * float64(max(routers, 1)-1)
-	return staleness{kept: kept, unseen: others * f.mean().Seconds() * (1 - kept)}
+	return loadStaleness{stillRunning: stillRunning, unseen: others * f.mean().Seconds() * (1 - stillRunning)}
 }
 
-// spread draws a candidate so that requests from all routers together, which
-// see the same old loads, even the costs out instead of all going to the least:
-// each candidate's part is what it lacks to the level that the budget would
-// raise all to. Budget is the cost that the unseen requests add. Without any, the
-// least cost is chosen. Draw is uniform in [0, 1).
-func spread(candidates []candidate, budget, draw float64) *candidate {
+// drawWaterFilling draws a candidate with a probability proportional to the gap
+// between its cost and the level to which the budget raises the lowest costs.
+// Routers that see the same outdated loads thus level out the costs instead of all
+// sending to the cheapest candidate. The budget is the cost of the unseen requests;
+// if it is 0, the draw is among the cheapest candidates. draw is uniform in [0, 1).
+func drawWaterFilling(candidates []candidate, budget, draw float64) *candidate {
 	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.ID, b.ID)) })
-	level, filled := fill(candidates, budget)
+	level, filled := waterLevel(candidates, budget)
 	if budget <= 0 {
 		return &candidates[int(draw*float64(filled))]
 	}
@@ -84,9 +83,9 @@
 	return &candidates[filled-1]
 }
 
-// fill returns the level to which a budget raises the lowest costs, and how many
-// candidates lie at or below it. Costs are in rising order.
-func fill(candidates []candidate, budget float64) (level float64, filled int) {
+// waterLevel returns the level to which a budget raises the lowest costs, and the number of
+// candidates at or below it. The candidates must be sorted by cost.
+func waterLevel(candidates []candidate, budget float64) (level float64, filled int) {
 	sum := 0.0
 	for i := range candidates {
 		if i > 0 && candidates[i].cost > (budget+sum)/float64(i) {
