--- a/internal/placer/bench_test.go
+++ b/internal/placer/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// What a placement costs the leader, among some and many engines.
+// BenchmarkPlace measures a placement among different numbers of engines.
 func BenchmarkPlace(b *testing.B) {
 	for _, count := range []int{12, 240, 810, 2400, 9675, 20000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -14,7 +14,7 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				now := time.Duration(i) * time.Millisecond
-				ask := long("r", uint64(i), fmt.Sprint("key-", i%2000))
+				ask := longPrompt("r", uint64(i), fmt.Sprint("key-", i%2000))
 				if i > 500 {
 					ask.Ended = []uint64{uint64(i - 500)}
 				}
--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	// keptTime is how long an engine is taken to keep what it read: its memory is
-	// turned over every eight to ten seconds where it is short.
-	keptTime = 10 * time.Second
-	// maxParts bounds what is known of the engines and of each store. When it is full,
-	// parts that were not read for keptTime go, and all of them if there are none.
+	// cacheLifetime is the time for which an engine is assumed to
+	// keep a processed part in its cache.
+	cacheLifetime = 10 * time.Second
+	// maxParts bounds the entries for all engines and for each store. A full directory drops the
+	// parts that no engine has processed for cacheLifetime, or all of them if there are none.
 	maxParts = 1 << 16
 )
 
-// partKey names a part under one version of the weights.
+// partKey identifies a part under one weights version.
 type partKey struct {
 	part    coordapi.PartHash
 	version int
 }
 
-// kept is where a part was read last.
-type kept struct {
+// cached is the engine that processed a part last, and when.
+type cached struct {
 	engine string
 	at     time.Duration
 }
 
-// directory knows which engine read a prompt part last, and what stores hold.
+// directory records which engine processed each prompt part last, and what the stores hold.
 type directory struct {
-	kept map[partKey]*kept
-	// stores are by address. A request without a store has the one of no address,
-	// which holds nothing.
+	cached map[partKey]*cached
+	// stores maps addresses to stores. Requests without a store
+	// use the entry for the empty address, which holds nothing.
 	stores map[string]*store
 }
 
 func newDirectory() *directory {
-	return &directory{kept: map[partKey]*kept{}, stores: map[string]*store{}}
+	return &directory{cached: map[partKey]*cached{}, stores: map[string]*store{}}
 }
 
 // store returns the store of a request's shared parts.
@@ -51,18 +51,17 @@
 	return s
 }
 
-// holder returns the engine that read a part last, empty for none that may still
-// keep it.
+// holder returns the engine that processed a part last, or "" if none may still hold it.
 func (d *directory) holder(now time.Duration, part coordapi.PartHash, version int) string {
-	if k := d.kept[partKey{part, version}]; k != nil && now-k.at < keptTime {
+	if k := d.cached[partKey{part, version}]; k != nil && now-k.at < cacheLifetime {
 		return k.engine
 	}
 	return ""
 }
 
-// cold is how many tokens of a prompt's parts the store lacks. A part that is kept
-// without those before it is of no use.
-func (d *directory) cold(now time.Duration, ask *coordapi.Place, version int) int {
+// uncachedTokens returns how many tokens of a prompt's parts the store lacks. A part is only useful
+// together with all parts before it.
+func (d *directory) uncachedTokens(now time.Duration, ask *coordapi.Place, version int) int {
 	s := d.store(ask)
 	total := 0
 	for _, part := range ask.Parts {
@@ -73,25 +72,24 @@
 	return total
 }
 
-// read notes that an engine is about to read a prompt's parts, and tells whether
-// the request is to save them: the store lacks some. A part stays with the engine
-// that holds it unless the reader is its home: a request that could not wait there
-// leaves a copy that is soon dropped.
-func (d *directory) read(now time.Duration, ask *coordapi.Place, choice *backends.Choice, save bool) (due bool) {
-	d.bound(now)
+// recordPrefill records that an engine is about to process a prompt's parts. It returns whether the
+// request is to save them because the store lacks some. A part stays assigned to the engine that
+// holds it unless the new one is the home of the key: copies elsewhere are soon evicted.
+func (d *directory) recordPrefill(now time.Duration, ask *coordapi.Place, choice *backends.Choice, save bool) (due bool) {
+	d.evict(now)
 	s := d.store(ask)
 	missing := 0
 	for _, part := range ask.Parts {
 		key := partKey{part.Hash, choice.Version}
-		k := d.kept[key]
+		k := d.cached[key]
 		if k == nil {
-			k = &kept{at: -keptTime}
-			d.kept[key] = k
+			k = &cached{at: -cacheLifetime}
+			d.cached[key] = k
 		}
 		if k.engine != choice.ID && s.holds(now, key) {
-			s.take(key)
+			s.touch(key)
 		}
-		if choice.Home || k.engine == choice.ID || now-k.at >= keptTime {
+		if choice.Home || k.engine == choice.ID || now-k.at >= cacheLifetime {
 			k.engine, k.at = choice.ID, now
 		}
 		if !s.holds(now, key) {
@@ -101,23 +99,24 @@
 	if !save || missing == 0 {
 		return false
 	}
-	s.grow(missing + ask.Own)
+	s.addTokens(missing + ask.Own)
 	for _, part := range ask.Parts {
-		s.put(now, partKey{part.Hash, choice.Version})
+		s.add(now, partKey{part.Hash, choice.Version})
 	}
 	return true
 }
 
-func (d *directory) bound(now time.Duration) {
-	if len(d.kept) < maxParts {
+// evict makes room for a new entry if the directory is full.
+func (d *directory) evict(now time.Duration) {
+	if len(d.cached) < maxParts {
 		return
 	}
-	for key, k := range d.kept {
-		if now-k.at > keptTime {
-			delete(d.kept, key)
+	for key, k := range d.cached {
+		if now-k.at > cacheLifetime {
+			delete(d.cached, key)
 		}
 	}
-	if len(d.kept) >= maxParts {
-		clear(d.kept)
+	if len(d.cached) >= maxParts {
+		clear(d.cached)
 	}
 }
--- a/internal/placer/limited.go
+++ b/internal/placer/limited.go
@@ -8,22 +8,21 @@
 	"quinceridge.example/quinceridge/internal/ratelimit"
 )
 
-// maxKeptPlaces is at how many engines that keep their next place for others a request is
-// turned away before none counts as found: where all of a large pool do, a few stand for
-// all.
-const maxKeptPlaces = 8
+// maxReserved bounds the engines without an unreserved place that a request tries before the search
+// ends. In a large pool a few of them are representative.
+const maxReserved = 8
 
-// choose finds an engine that has a place by its limit, and returns for how long the right
-// to send there lasts; 0 where none is needed. An engine that takes no more stands out of the
-// choice until it does, so that its requests spill over as they do beside any that is full.
+// choose selects an engine whose limit admits the request. It returns the lifetime of the permit to
+// send there, or 0 if none is needed. An engine that has reached its limit is left out until it
+// admits requests again, so that its requests spill over to others.
 func (p *Placer) choose(now time.Duration, ask *coordapi.Place, q *backends.Query) (choice backends.Choice, found bool, right time.Duration) {
-	for kept := 0; ; {
+	for reserved := 0; ; {
 		choice, found = p.pool.Choose(now, q)
 		if p.limits == nil || (found && choice.Late) {
 			return choice, found, 0
 		}
 		if !found {
-			return p.none(now, q, kept > 0), false, 0
+			return p.notFound(now, q, reserved > 0), false, 0
 		}
 		verdict := p.limits.Take(now, ratelimit.Wish{Router: ask.Router, Number: ask.Number, Backend: coordapi.BackendID(choice.ID), Claimant: ask.Claimant})
 		switch {
@@ -35,27 +34,27 @@
 			p.pool.SetLimited(now, choice.ID, verdict.Wait)
 			continue
 		}
-		// It keeps its next place for others: it is full for this request alone.
-		if kept++; kept > maxKeptPlaces {
-			return p.none(now, q, true), false, 0
+		// The engine reserves its next place for others: it is full for this request alone.
+		if reserved++; reserved > maxReserved {
+			return p.notFound(now, q, true), false, 0
 		}
 		q.Tried = append(q.Tried, choice.ID)
 	}
 }
 
-// ClearLimited lets engines be asked again for a place: rights have come back, or they take
-// another rate from now on.
+// ClearLimited makes engines eligible again, because permits
+// were returned or their limits have changed.
 func (p *Placer) ClearLimited(now time.Duration, ids []coordapi.BackendID) {
 	for _, id := range ids {
 		p.current().SetLimited(now, string(id), 0)
 	}
 }
 
-// none is the choice for a request that found no engine. Kept says that one keeps its place
-// for others.
-func (p *Placer) none(now time.Duration, q *backends.Query, kept bool) backends.Choice {
-	if !kept && p.pool.RetryAfter(now, q) == 0 {
-		// Limits are not why.
+// notFound returns the choice for a request without an engine; reserved says that an engine
+// reserves its place for other requests.
+func (p *Placer) notFound(now time.Duration, q *backends.Query, reserved bool) backends.Choice {
+	if !reserved && p.pool.RetryAfter(now, q) == 0 {
+		// Limits are not the cause.
 		return backends.Choice{}
 	}
 	return backends.Choice{Room: p.limits.Room(now, q.Pool)}
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -1,12 +1,10 @@
-// Package placer chooses engines for the requests of all routers of a deployment.
-// One node that sees every request knows what each engine has been sent up to the
-// moment; routers that share their loads know it a second late when there are
-// hundreds of them, and engines then read long prompts one behind the other while
-// their neighbours are idle.
+// Package placer chooses engines for the requests of all routers of a deployment. A single node
+// that sees every request has the current load of each engine. Routers that exchange their loads
+// would act on outdated ones and send long prompts to engines that are already busy.
 //
-// What a placer knows is lost with it and comes back within seconds. It is asked
-// for hints only: a router without an answer chooses by itself. The package does
-// no I/O; time is an argument.
+// The state of a placer is soft and is rebuilt within seconds after
+// its loss. Its replies are hints: a router without a reply chooses
+// by itself. The package does no I/O; callers pass the time.
 package placer
 
 import (
@@ -22,72 +20,72 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// routerKept is how long the placements of a router count after its last word: a
-// router with requests under way is heard of at least once a second.
-const routerKept = 3 * time.Second
+// routerTimeout is the time after the last report of a router at which its placements end. Routers
+// with requests in flight report at least once per second.
+const routerTimeout = 3 * time.Second
 
-// longestWait is the longest wait for a first event that is believed: callers leave
-// before.
-const longestWait = 30 * time.Second
+// maxFirstEventWait is the longest plausible wait for a first event; callers give up earlier.
+const maxFirstEventWait = 30 * time.Second
 
-// Placer is safe for concurrent use.
+// Placer chooses engines and tracks the placements in flight. It is safe for concurrent use.
 type Placer struct {
 	mu   sync.Mutex
 	pool *backends.Pool
-	// limits counts what engines get that take only so much from all machines; nil for none.
+	// limits counts the requests admitted to engines with a limit; it may be nil.
 	limits  *ratelimit.Bank
 	routers map[string]*router
 	parts   *directory
-	// direct is how much longer than expected requests take that take nothing from a
-	// store.
-	direct speed.DelayEstimator
-	swept  time.Duration
+	// baseDelay is the excess of the wait over the expected one
+	// for requests that fetch nothing from a store.
+	baseDelay speed.DelayEstimator
+	lastSweep time.Duration
 }
 
-// router is one router's placements under way.
+// router holds the placements of one router.
 type router struct {
-	heard time.Duration
-	open  map[uint64]*placement
+	lastReport time.Duration
+	open       map[uint64]*placement
 }
 
-// placement is a request under way.
+// placement is a request in flight.
 type placement struct {
 	*backends.Attempt
-	// from is the store from which it takes shared parts, nil for none.
+	// from is the store from which the engine fetches shared parts, or nil.
 	from *store
 }
 
-// New returns a placer that knows nothing but what limits counts, which may be nil.
+// New returns an empty placer. The limiter limits may be nil.
 func New(limits *ratelimit.Bank) *Placer {
 	p := &Placer{limits: limits}
 	p.Reset()
 	return p
 }
 
-// Reset forgets everything.
+// Reset drops all state.
 func (p *Placer) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pool, p.routers = backends.NewCentralPool(), map[string]*router{}
-	p.parts, p.direct = newDirectory(), speed.DelayEstimator{}
+	p.parts, p.baseDelay = newDirectory(), speed.DelayEstimator{}
 }
 
-// Apply changes rows and removes departed back ends; whole replaces all.
+// Apply updates rows and removes departed back ends. If whole
+// is set, it removes all rows that are not given.
 func (p *Placer) Apply(rows []state.Backend, departed []string, whole bool) {
 	p.current().Apply(rows, departed, whole)
 }
 
-// ApplyNotes takes what only the leader knows.
+// ApplyNotes replaces the state that only the leader determines.
 func (p *Placer) ApplyNotes(notes coordapi.Notes) { p.current().ApplyNotes(notes) }
 
-// UnresponsiveEngines is how many engines have stopped to answer, for all that routers have
-// reported.
+// UnresponsiveEngines returns the number of engines that no
+// longer answer, according to the routers' reports.
 func (p *Placer) UnresponsiveEngines(now time.Duration) int {
 	return p.current().UnresponsiveEngines(now)
 }
 
-// PrefillShare is the part of their time that the engines of the busiest pool need
-// to read prompts.
+// PrefillShare returns the share of their time that the
+// engines of the busiest pool spend on prefill.
 func (p *Placer) PrefillShare(now time.Duration) float64 { return p.current().PrefillShare(now) }
 
 func (p *Placer) current() *backends.Pool {
@@ -96,7 +94,7 @@
 	return p.pool
 }
 
-// OpenPlacements is how many placements are under way, and of how many routers.
+// OpenPlacements returns the number of placements in flight and of their routers.
 func (p *Placer) OpenPlacements() (placements, routers int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,33 +104,33 @@
 	return placements, len(p.routers)
 }
 
-// Place chooses an engine. Unless the choice is late or empty, it counts as sent
-// until the router reports its end.
+// Place chooses an engine. The request counts as sent to it until the router reports its end,
+// unless the reply is late or names no engine.
 func (p *Placer) Place(now time.Duration, ask *coordapi.Place) coordapi.Placed {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.take(now, ask.Router, &ask.Reports)
+	r := p.applyReports(now, ask.Router, &ask.Reports)
 	q := p.query(now, ask)
 	choice, found, right := p.choose(now, ask, q)
 	if !found {
 		return coordapi.Placed{Room: choice.Room}
 	}
 	if !choice.Late {
-		from := p.arrange(now, ask, q, &choice)
+		from := p.planFetch(now, ask, q, &choice)
 		a := p.pool.Begin(now, &choice, q, func(error) {})
 		if from != nil {
 			a.SetFetches()
 		}
 		r.open[ask.Number] = &placement{a, from}
 	}
-	out := placed(&choice)
+	out := newReply(&choice)
 	out.Right = right
 	return out
 }
 
-// arrange decides where the chosen engine takes kept parts from, and whether it
-// saves them. It returns the store if they are moved from there.
-func (p *Placer) arrange(now time.Duration, ask *coordapi.Place, q *backends.Query, choice *backends.Choice) (from *store) {
+// planFetch sets the source from which the chosen engine fetches cached parts, and whether the
+// request saves its parts. It returns the store if the engine fetches from it, or nil.
+func (p *Placer) planFetch(now time.Duration, ask *coordapi.Place, q *backends.Query, choice *backends.Choice) (from *store) {
 	if !choice.Versioned || len(ask.Parts) == 0 {
 		return nil
 	}
@@ -140,19 +138,19 @@
 	if ask.Store == "" || p.storeDelay(now, s) > p.pool.MaxFetchDelay(q) {
 		s = nil
 	}
-	source, moved := p.source(now, ask, choice, s)
+	source, fetches := p.source(now, ask, choice, s)
 	choice.Source = source
-	choice.Save = p.parts.read(now, ask, choice, s != nil && q.MaySave())
-	if !moved {
+	choice.Save = p.parts.recordPrefill(now, ask, choice, s != nil && q.MaySave())
+	if !fetches {
 		return nil
 	}
 	return s
 }
 
-// source is the address from which the chosen engine takes what it lacks of the
-// shared parts, and whether it will move some from the store. That is nil where there
-// is none, and while it is slow.
-func (p *Placer) source(now time.Duration, ask *coordapi.Place, choice *backends.Choice, s *store) (address string, moved bool) {
+// source returns the address from which the chosen engine fetches the
+// shared parts that it lacks, or "", and whether it is expected to fetch
+// some from the store. s is nil if there is no store or it is slow.
+func (p *Placer) source(now time.Duration, ask *coordapi.Place, choice *backends.Choice, s *store) (address string, fetches bool) {
 	last := ask.Parts[len(ask.Parts)-1]
 	holds := p.parts.holder(now, last.Hash, choice.Version) == choice.ID
 	for _, part := range slices.Backward(ask.Parts) {
@@ -168,45 +166,44 @@
 		}
 	}
 	if s != nil && choice.Home {
-		// The store may have more than is known.
+		// The store may hold more than is recorded here.
 		return ask.Store, false
 	}
 	return "", false
 }
 
-// storeDelay is how much longer requests take that take parts from a store than
-// others do.
+// storeDelay returns how much longer requests wait if they fetch parts from the store.
 func (p *Placer) storeDelay(now time.Duration, s *store) time.Duration {
-	return max(s.delay.At(now)-p.direct.At(now), 0)
+	return max(s.delay.At(now)-p.baseDelay.At(now), 0)
 }
 
-// learn takes how much longer than expected a placement took to begin.
-func (p *Placer) learn(now time.Duration, a *placement, excess time.Duration) {
+// observeDelay records the excess of a placement's wait over the expected one.
+func (p *Placer) observeDelay(now time.Duration, a *placement, excess time.Duration) {
 	if a.from != nil {
 		a.from.delay.Observe(now, excess)
 		return
 	}
-	p.direct.Observe(now, excess)
+	p.baseDelay.Observe(now, excess)
 }
 
-// ApplyReports takes what a router has to say beside its placements.
+// ApplyReports applies the reports that a router sends apart from its placements.
 func (p *Placer) ApplyReports(now time.Duration, name string, reports *coordapi.Reports) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.take(now, name, reports)
+	p.applyReports(now, name, reports)
 }
 
-func (p *Placer) take(now time.Duration, name string, reports *coordapi.Reports) *router {
-	p.sweep(now)
+func (p *Placer) applyReports(now time.Duration, name string, reports *coordapi.Reports) *router {
+	p.expireRouters(now)
 	r := p.routers[name]
 	if r == nil {
 		r = &router{open: map[uint64]*placement{}}
 		p.routers[name] = r
 	}
-	r.heard = now
+	r.lastReport = now
 	for _, b := range reports.Begun {
-		if a := r.open[b.Number]; a != nil && b.First > 0 && b.First <= longestWait {
-			p.learn(now, a, a.FirstEventReported(now, b.First))
+		if a := r.open[b.Number]; a != nil && b.First > 0 && b.First <= maxFirstEventWait {
+			p.observeDelay(now, a, a.FirstEventReported(now, b.First))
 		}
 	}
 	for _, number := range reports.Ended {
@@ -219,14 +216,14 @@
 	return r
 }
 
-// sweep ends the placements of routers that are gone.
-func (p *Placer) sweep(now time.Duration) {
-	if now-p.swept < routerKept/4 {
+// expireRouters ends the placements of routers that no longer report.
+func (p *Placer) expireRouters(now time.Duration) {
+	if now-p.lastSweep < routerTimeout/4 {
 		return
 	}
-	p.swept = now
+	p.lastSweep = now
 	for name, r := range p.routers {
-		if now-r.heard <= routerKept {
+		if now-r.lastReport <= routerTimeout {
 			continue
 		}
 		for _, a := range r.open {
@@ -236,31 +233,30 @@
 	}
 }
 
-// query is what a router asks, in the words of the choice.
+// query converts a router's request to a query.
 func (p *Placer) query(now time.Duration, ask *coordapi.Place) *backends.Query {
 	q := &backends.Query{Pool: ask.Pool, Zone: ask.Zone, Model: ask.Model, Key: ask.Key, Target: ask.Target, Patience: ask.Patience, GapTarget: ask.GapTarget,
 		Shared: ask.Shared, Work: backends.Work{Prompt: ask.Own, Most: ask.Most}, Slots: ask.Slots, Capacity: ask.Capacity,
 		Tried: ask.Tried, Draw: rand.Float64()}
-	q.UncachedTokens = func(version int) int { return p.parts.cold(now, ask, version) }
+	q.UncachedTokens = func(version int) int { return p.parts.uncachedTokens(now, ask, version) }
 	if n := len(ask.Parts); n > 0 {
 		q.Holder = func(version int) string { return p.parts.holder(now, ask.Parts[n-1].Hash, version) }
 	}
 	return q
 }
 
-// NewRequest is a router's question for a query.
+// NewRequest converts a query to a router's request.
 func NewRequest(q *backends.Query) *coordapi.Place {
 	return &coordapi.Place{Pool: q.Pool, Zone: q.Zone, Model: q.Model, Key: q.Key, Target: q.Target, Patience: q.Patience, GapTarget: q.GapTarget, Shared: q.Shared,
 		Own: q.Work.Prompt, Most: q.Work.Most, Slots: q.Slots, Capacity: q.Capacity, Tried: q.Tried, Parts: q.Parts, Request: q.Request, Store: q.Store, StoreTokens: q.StoreTokens, Tenant: q.Tenant, Amount: q.Amount, Claimant: q.Claimant}
 }
 
-func placed(c *backends.Choice) coordapi.Placed {
+func newReply(c *backends.Choice) coordapi.Placed {
 	return coordapi.Placed{ID: c.ID, Instance: c.Instance, Address: c.Address, Zone: c.Zone, Version: c.Version, Versioned: c.Versioned, Home: c.Home,
 		Source: c.Source, Save: c.Save, Cost: c.Cost, Considered: c.Considered, Prompt: c.Work.Prompt, Ahead: c.Ahead, Wait: c.Wait, Late: c.Late}
 }
 
-// Choice is a placement in the words of the choice. False says that no engine may
-// serve.
+// Choice converts the reply to a request to a choice. It returns false if no engine may serve.
 func Choice(ask *coordapi.Place, p *coordapi.Placed) (backends.Choice, bool) {
 	return backends.Choice{ID: p.ID, Instance: p.Instance, Address: p.Address, Zone: p.Zone, Version: p.Version, Versioned: p.Versioned, Home: p.Home,
 		Source: p.Source, Save: p.Save, Cost: p.Cost, Considered: p.Considered, Work: backends.Work{Prompt: p.Prompt, Most: ask.Most},
--- a/internal/placer/pushback_test.go
+++ b/internal/placer/pushback_test.go
@@ -11,19 +11,19 @@
 	"quinceridge.example/quinceridge/internal/coordapi"
 )
 
-// knowledge is what is made of an engine's word that it wants nothing for a while.
-type knowledge struct {
-	// asked keeps the router that was asked from it, and told lets who places for all
-	// prefer other engines for the others.
-	asked, told bool
+// pushbackUse selects what the pushbacks of engines affect.
+type pushbackUse struct {
+	// perRouter makes a router skip an engine that pushed it back. shared makes the placer prefer
+	// other engines for all routers.
+	perRouter, shared bool
 }
 
-// played is what callers of a surge got, and what engines that shed were sent.
-type played struct {
+// surgeResult counts the outcomes of a surge.
+type surgeResult struct {
 	served, refused int
-	// turnedAway counts arrivals at engines that shed, and most those of one router at one
-	// engine within a wait.
-	turnedAway, most int
+	// rejected counts requests at engines that shed, and maxRepeated
+	// the most from one router to one engine during a pushback.
+	rejected, maxRepeated int
 }
 
 const (
@@ -36,15 +36,14 @@
 	surgeSends   = 4
 )
 
-// surge plays 50 requests a second at seven routers and twelve engines, of which four shed a
-// part of what comes for nine seconds and want nothing from whom they turn away for
-// three.
-func surge(seed uint64, k knowledge, shed float64) played {
+// surge simulates 50 requests per second by seven routers to twelve engines. For nine seconds four
+// of the engines shed a fraction of the requests and push back the router for three seconds.
+func surge(seed uint64, k pushbackUse, shed float64) surgeResult {
 	r := rand.New(rand.NewPCG(seed, 1))
 	p := newTestPlacer(surgeEngines)
-	var out played
+	var out surgeResult
 	until := map[[2]string]time.Duration{}
-	within := map[[2]string]int{}
+	repeated := map[[2]string]int{}
 	ended := map[string][]uint64{}
 	troubles := map[string][]coordapi.Trouble{}
 	number := uint64(0)
@@ -54,11 +53,11 @@
 		served := false
 		for range surgeSends {
 			number++
-			ask := long(router, number, fmt.Sprint("key ", r.IntN(40)))
+			ask := longPrompt(router, number, fmt.Sprint("key ", r.IntN(40)))
 			ask.Shared, ask.Own, ask.Most = 200, 600, 1000
 			ask.Tried = append(ask.Tried, tried...)
-			if k.asked {
-				ask.Tried = append(ask.Tried, barred(until, router, now)...)
+			if k.perRouter {
+				ask.Tried = append(ask.Tried, pushedBackEngines(until, router, now)...)
 			}
 			ask.Reports = coordapi.Reports{Ended: ended[router], Troubles: troubles[router]}
 			ended[router], troubles[router] = nil, nil
@@ -69,8 +68,8 @@
 			sheds := placed.ID < "e004" && now >= shedFrom && now < shedUntil && r.Float64() < shed
 			pair := [2]string{router, placed.ID}
 			if now < until[pair] {
-				within[pair]++
-				out.most = max(out.most, within[pair])
+				repeated[pair]++
+				out.maxRepeated = max(out.maxRepeated, repeated[pair])
 			}
 			if !sheds {
 				served = true
@@ -78,13 +77,13 @@
 				ended[router] = append(ended[router], number)
 				break
 			}
-			out.turnedAway++
+			out.rejected++
 			if now >= until[pair] {
-				within[pair] = 0
+				repeated[pair] = 0
 			}
 			until[pair] = max(until[pair], now+shedWait)
 			trouble := coordapi.Trouble{ID: placed.ID, Kind: coordapi.Busy}
-			if k.told {
+			if k.shared {
 				trouble.For = shedWait
 			}
 			troubles[router] = append(troubles[router], trouble)
@@ -100,8 +99,8 @@
 	return out
 }
 
-// barred are the engines that want nothing from a router.
-func barred(until map[[2]string]time.Duration, router string, now time.Duration) []string {
+// pushedBackEngines returns the engines that have pushed back a router.
+func pushedBackEngines(until map[[2]string]time.Duration, router string, now time.Duration) []string {
 	var out []string
 	for pair, end := range until {
 		if pair[0] == router && now < end {
@@ -111,29 +110,28 @@
 	return out
 }
 
-// The load of the incident, and one where engines shed a tenth of what comes. A router that
-// was asked sends nothing for the wait; the others are spared most of the tries that would
-// find out the same, and lose no engine that still serves.
-func TestASurgeBesideEnginesThatPushBack(t *testing.T) {
+// A router must send nothing to an engine that pushed it back. Sharing pushbacks must avoid most of
+// the other routers' rejections without losing engines that still serve.
+func TestSurgeWithEnginesThatPushBack(t *testing.T) {
 	for _, shed := range []float64{1, 0.1} {
-		var sums [3]played
+		var sums [3]surgeResult
 		for seed := range uint64(10) {
-			for i, k := range []knowledge{{}, {asked: true}, {asked: true, told: true}} {
+			for i, k := range []pushbackUse{{}, {perRouter: true}, {perRouter: true, shared: true}} {
 				got := surge(seed, k, shed)
-				sums[i].turnedAway += got.turnedAway
+				sums[i].rejected += got.rejected
 				sums[i].refused += got.refused
 				sums[i].served += got.served
-				sums[i].most = max(sums[i].most, got.most)
+				sums[i].maxRepeated = max(sums[i].maxRepeated, got.maxRepeated)
 			}
 		}
-		nothing, asked, told := sums[0], sums[1], sums[2]
-		t.Logf("shedding %.0f in 100: nothing known %+v, by who was asked %+v, told to all %+v", 100*shed, nothing, asked, told)
-		assert.Assert(t, nothing.most > 2)
-		assert.Equal(t, asked.most, 0)
-		assert.Equal(t, told.most, 0)
-		assert.Assert(t, asked.turnedAway < nothing.turnedAway)
-		assert.Assert(t, told.turnedAway < asked.turnedAway)
-		assert.Equal(t, told.refused, 0)
-		assert.Equal(t, told.served, asked.served)
+		ignored, perRouter, shared := sums[0], sums[1], sums[2]
+		t.Logf("shedding %.0f%%: pushbacks ignored %+v, per router %+v, shared %+v", 100*shed, ignored, perRouter, shared)
+		assert.Assert(t, ignored.maxRepeated > 2)
+		assert.Equal(t, perRouter.maxRepeated, 0)
+		assert.Equal(t, shared.maxRepeated, 0)
+		assert.Assert(t, perRouter.rejected < ignored.rejected)
+		assert.Assert(t, shared.rejected < perRouter.rejected)
+		assert.Equal(t, shared.refused, 0)
+		assert.Equal(t, shared.served, perRouter.served)
 	}
 }
--- a/internal/placer/store.go
+++ b/internal/placer/store.go
@@ -7,53 +7,53 @@
 	"quinceridge.example/quinceridge/internal/speed"
 )
 
-// store is what a store of kept prompts holds, for all that was placed. It drops
-// what was not used for the longest time once its memory is full: a part is gone
-// when as many tokens as the store takes have come in since it was used last.
+// store estimates the contents of a store of shared parts from the
+// placements. The store evicts the least recently used part: a part is gone
+// when as many tokens as the store's capacity were added since its last use.
 type store struct {
-	// capacity is in tokens, 0 if it is not known. received are all tokens that have
-	// come in.
+	// capacity is in tokens, or 0 if unknown. received is the number of all tokens added.
 	capacity int
 	received int
-	parts    map[partKey]stored
-	// delay is how much longer than expected requests take that move parts from it.
+	parts    map[partKey]storedPart
+	// delay is the excess of the wait over the expected one for
+	// requests that fetch parts from the store.
 	delay speed.DelayEstimator
 }
 
-// stored is a part in a store.
-type stored struct {
-	// savedAt is when a request was told to save it, and used what the store had
-	// received when the part was used last.
+// storedPart is a part in a store.
+type storedPart struct {
+	// savedAt is the time at which a request was instructed to save the part, and usedAt the value
+	// of store.received at its last use.
 	savedAt time.Duration
-	used    int
+	usedAt  int
 }
 
-func newStore() *store { return &store{parts: map[partKey]stored{}} }
+func newStore() *store { return &store{parts: map[partKey]storedPart{}} }
 
-// holds tells whether the store still has a part. One that restarts comes back empty
-// and tells nobody: a part counts for SavedTime from when it was saved.
+// holds reports whether the store still has a part. Since a store may restart empty without notice,
+// a part counts for SavedTime after it was saved.
 func (s *store) holds(now time.Duration, key partKey) bool {
 	p, known := s.parts[key]
 	if !known || now-p.savedAt >= coordapi.SavedTime {
 		return false
 	}
-	return s.capacity <= 0 || s.received-p.used < s.capacity
+	return s.capacity <= 0 || s.received-p.usedAt < s.capacity
 }
 
-// take notes that an engine takes a part.
-func (s *store) take(key partKey) {
+// touch records the use of a part.
+func (s *store) touch(key partKey) {
 	p := s.parts[key]
-	p.used = s.received
+	p.usedAt = s.received
 	s.parts[key] = p
 }
 
-// grow notes tokens that come in.
-func (s *store) grow(tokens int) { s.received += tokens }
+// addTokens records tokens that were added to the store.
+func (s *store) addTokens(tokens int) { s.received += tokens }
 
-// put notes that a part is saved.
-func (s *store) put(now time.Duration, key partKey) {
+// add records that a part was saved.
+func (s *store) add(now time.Duration, key partKey) {
 	if len(s.parts) >= maxParts {
 		clear(s.parts)
 	}
-	s.parts[key] = stored{savedAt: now, used: s.received}
+	s.parts[key] = storedPart{savedAt: now, usedAt: s.received}
 }
