--- a/internal/inventory/heads.go
+++ b/internal/inventory/heads.go
@@ -9,32 +9,31 @@
 	"quinceridge.example/quinceridge/internal/scheduling"
 )
 
-// maxHeadChanges bounds the changes that are kept for routers. One that is
-// further behind gets all heads.
+// maxHeadChanges bounds the change log. A router that is further behind gets all heads.
 const maxHeadChanges = 65536
 
-// feed is how far an engine's cache events were read.
+// feed is the read position in an engine's cache events, with the heads that it holds.
 type feed struct {
 	incarnation string
 	after       uint64
 	heads       map[uint64]struct{}
 }
 
-// headTable is the chain heads that engines hold, and its latest changes.
-// Inventory.mu guards it.
+// headTable holds the chain heads in the engines' caches and a
+// log of recent changes. It is guarded by Inventory.mu.
 type headTable struct {
 	feeds map[string]*feed
-	// first is the number of changes[0], from 1.
+	// first is the number of changes[0]. Numbers start at 1.
 	first   uint64
 	changes []controlapi.HeadChange
 }
 
 func newHeadTable() headTable { return headTable{feeds: map[string]*feed{}, first: 1} }
 
-// last is the number of the latest change.
+// last returns the number of the latest change.
 func (t *headTable) last() uint64 { return t.first + uint64(len(t.changes)) - 1 }
 
-func (t *headTable) note(change controlapi.HeadChange) {
+func (t *headTable) record(change controlapi.HeadChange) {
 	t.changes = append(t.changes, change)
 	if extra := len(t.changes) - maxHeadChanges; extra > 0 {
 		t.changes = t.changes[extra:]
@@ -42,17 +41,17 @@
 	}
 }
 
-// forget drops all heads of an engine.
+// forget removes all heads of an engine.
 func (t *headTable) forget(engine string) {
 	if t.feeds[engine] == nil {
 		return
 	}
 	delete(t.feeds, engine)
-	t.note(controlapi.HeadChange{Engine: engine, Kind: controlapi.HeadsForgotten})
+	t.record(controlapi.HeadChange{Engine: engine, Kind: controlapi.HeadsForgotten})
 }
 
-// take applies a page of an engine's events.
-func (t *headTable) take(engine string, page *engineapi.CachePage) {
+// apply applies a page of an engine's cache events.
+func (t *headTable) apply(engine string, page *engineapi.CachePage) {
 	f := t.feeds[engine]
 	if f == nil || f.incarnation != page.Incarnation {
 		t.forget(engine)
@@ -66,16 +65,16 @@
 		}
 		if event.Stored {
 			f.heads[event.Block] = struct{}{}
-			t.note(controlapi.HeadChange{Engine: engine, Kind: controlapi.HeadAdded, Head: event.Block})
+			t.record(controlapi.HeadChange{Engine: engine, Kind: controlapi.HeadAdded, Head: event.Block})
 			continue
 		}
 		delete(f.heads, event.Block)
-		t.note(controlapi.HeadChange{Engine: engine, Kind: controlapi.HeadDropped, Head: event.Block})
+		t.record(controlapi.HeadChange{Engine: engine, Kind: controlapi.HeadDropped, Head: event.Block})
 	}
 }
 
-// since returns the changes after a number, or all heads when the number is
-// too old. Whole says which.
+// since returns the changes after a number. If the number is no
+// longer in the log, it returns all heads, and whole is true.
 func (t *headTable) since(after uint64) (changes []controlapi.HeadChange, whole bool) {
 	if after != 0 && after+1 >= t.first && after <= t.last() {
 		return t.changes[after+1-t.first:], false
@@ -88,7 +87,7 @@
 	return changes, true
 }
 
-// pollEvents reads an engine's cache events.
+// pollEvents reads the new cache events of an engine.
 func (i *Inventory) pollEvents(ctx context.Context, m controlapi.Machine) {
 	i.mu.RLock()
 	after := uint64(0)
@@ -103,5 +102,5 @@
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.heads.take(m.ID, &page)
+	i.heads.apply(m.ID, &page)
 }
--- a/internal/inventory/heads_test.go
+++ b/internal/inventory/heads_test.go
@@ -17,9 +17,9 @@
 	return engineapi.CacheEvent{Block: block, Depth: depth, Stored: true}
 }
 
-func TestOnlyHeadsAreKeptAndToldOnce(t *testing.T) {
+func TestHeadTableReportsOnlyHeadChanges(t *testing.T) {
 	table := newHeadTable()
-	table.take("e", page("one", 1, stored(1, 15), stored(2, 16), stored(3, 17), stored(4, 32)))
+	table.apply("e", page("one", 1, stored(1, 15), stored(2, 16), stored(3, 17), stored(4, 32)))
 	changes, whole := table.since(0)
 	assert.Assert(t, whole)
 	assert.Equal(t, len(changes), 2)
@@ -27,17 +27,17 @@
 	changes, whole = table.since(after)
 	assert.Assert(t, !whole)
 	assert.Equal(t, len(changes), 0)
-	table.take("e", page("one", 5, engineapi.CacheEvent{Block: 4, Depth: 32}))
+	table.apply("e", page("one", 5, engineapi.CacheEvent{Block: 4, Depth: 32}))
 	changes, _ = table.since(after)
 	assert.DeepEqual(t, changes, []controlapi.HeadChange{{Engine: "e", Kind: controlapi.HeadDropped, Head: 4}})
 	assert.Equal(t, table.feeds["e"].after, uint64(5))
 }
 
-func TestARestartedEngineHoldsNothing(t *testing.T) {
+func TestEngineRestartClearsHeads(t *testing.T) {
 	table := newHeadTable()
-	table.take("e", page("one", 1, stored(1, 16)))
+	table.apply("e", page("one", 1, stored(1, 16)))
 	after := table.last()
-	table.take("e", page("two", 1, stored(2, 16)))
+	table.apply("e", page("two", 1, stored(2, 16)))
 	changes, _ := table.since(after)
 	assert.Equal(t, changes[0].Kind, controlapi.HeadsForgotten)
 	assert.Equal(t, changes[1].Head, uint64(2))
@@ -45,10 +45,10 @@
 	assert.Equal(t, len(changes), 1)
 }
 
-func TestARouterThatIsTooFarBehindGetsAll(t *testing.T) {
+func TestOutdatedRouterGetsAllHeads(t *testing.T) {
 	table := newHeadTable()
 	for i := range uint64(maxHeadChanges + 10) {
-		table.take("e", page("one", i+1, stored(i%100, 16)))
+		table.apply("e", page("one", i+1, stored(i%100, 16)))
 	}
 	_, whole := table.since(5)
 	assert.Assert(t, whole)
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,7 +1,7 @@
-// Package inventory is a control node's picture of the back ends: the
-// platform's list of machines and the engines' own reports, both of which lag.
-// It is soft state, kept by each control node alone; routers take it as advice
-// and engines refuse what does not fit.
+// Package inventory maintains a control node's view of the back ends. It joins
+// the platform's list of machines with the status of the engines, both of which
+// lag behind. The view is soft state that each control node keeps for itself.
+// Routers use it as a hint, and engines reject requests that do not fit.
 package inventory
 
 import (
@@ -22,21 +22,22 @@
 	"quinceridge.example/quinceridge/internal/platformapi"
 )
 
-// Config says what is polled and how often.
+// Config selects what is polled and how often.
 type Config struct {
-	// Source names this node's picture in answers.
+	// Source identifies this node's view in replies.
 	Source string
-	// Platform is the address of the platform's list.
+	// Platform is the address of the platform's machine list.
 	Platform string
-	// ListInterval and StatusInterval are the times between two polls.
+	// ListInterval and StatusInterval are the polling intervals of
+	// the machine list and the engines.
 	ListInterval   time.Duration
 	StatusInterval time.Duration
-	// Zones limits engine reports to these zones. Empty means all.
+	// Zones restricts the polling of engines to these zones. If empty, all zones are polled.
 	Zones []string
 }
 
-// pollers bounds how many engines are asked at once.
-const pollers = 32
+// maxConcurrentPolls bounds the engines polled at the same time.
+const maxConcurrentPolls = 32
 
 // Inventory polls the platform and the engines. It is safe for concurrent use.
 type Inventory struct {
@@ -50,7 +51,7 @@
 	heads    headTable
 }
 
-// report is an engine's latest status and when it came.
+// report is the latest status of an engine and the time it was received.
 type report struct {
 	status engineapi.Status
 	at     time.Duration
@@ -63,17 +64,17 @@
 		reports: map[string]report{}, heads: newHeadTable()}
 }
 
-// Run polls until the context ends.
+// Run polls until the context is cancelled.
 func (i *Inventory) Run(ctx context.Context) {
 	var group sync.WaitGroup
-	group.Go(func() { pollNowAnd(ctx, i.config.ListInterval, i.pollList) })
-	group.Go(func() { pollNowAnd(ctx, i.config.StatusInterval, i.pollEngines) })
+	group.Go(func() { pollEvery(ctx, i.config.ListInterval, i.pollList) })
+	group.Go(func() { pollEvery(ctx, i.config.StatusInterval, i.pollEngines) })
 	group.Wait()
 	i.client.CloseIdleConnections()
 }
 
-// pollNowAnd polls at once and then at each interval.
-func pollNowAnd(ctx context.Context, interval time.Duration, poll func(context.Context)) {
+// pollEvery polls at once and then at each interval.
+func pollEvery(ctx context.Context, interval time.Duration, poll func(context.Context)) {
 	poll(ctx)
 	periodic.Run(ctx, interval, poll)
 }
@@ -96,7 +97,7 @@
 
 func (i *Inventory) pollEngines(ctx context.Context) {
 	var group sync.WaitGroup
-	slots := make(chan struct{}, pollers)
+	slots := make(chan struct{}, maxConcurrentPolls)
 	for _, m := range i.engines() {
 		slots <- struct{}{}
 		group.Go(func() {
@@ -137,8 +138,8 @@
 	i.reports[m.ID] = report{status: status, at: clock.Now()}
 }
 
-// rebuild joins the list with the reports. The revision rises only when a
-// machine's own data changed, not with load.
+// rebuild joins the machine list with the engines' status. The revision rises only when the data of
+// a machine changes, not its load.
 func (i *Inventory) rebuild(machines []controlapi.Machine) {
 	listed := map[string]bool{}
 	for n := range machines {
@@ -182,7 +183,8 @@
 	return errors.Wrap(json.NewDecoder(response.Body).Decode(into), "decode poll")
 }
 
-// View answers a router. The machine list is left out when the router has it.
+// View returns the reply to a router. It omits the machine
+// list if the router has the current revision.
 func (i *Inventory) View(r controlapi.ViewRequest) controlapi.ViewReply {
 	i.mu.RLock()
 	defer i.mu.RUnlock()
@@ -204,7 +206,7 @@
 	return reply
 }
 
-// unknownAge marks the load of an engine that never reported.
+// unknownAge is the load age of an engine whose status was never received.
 const unknownAge = -1
 
 func (i *Inventory) row(id string, now time.Duration) controlapi.LoadRow {
@@ -220,7 +222,7 @@
 	}
 }
 
-// Machines returns the present list.
+// Machines returns the current machine list. The caller must not modify it.
 func (i *Inventory) Machines() []controlapi.Machine {
 	i.mu.RLock()
 	defer i.mu.RUnlock()
