--- a/internal/weights/example_test.go
+++ b/internal/weights/example_test.go
@@ -7,8 +7,7 @@
 	"quinceridge.example/quinceridge/internal/weights"
 )
 
-// The engine with the oldest version goes first, and is brought to the newest
-// one: the version between costs it no load.
+// The engine with the oldest version is loaded first. It skips the version between.
 func ExampleConfig_Next() {
 	config := weights.Config{Deadline: 8 * time.Second, Guard: time.Second, Grace: 1500 * time.Millisecond, Divisor: 4}
 	versions := []weights.Version{{Number: 2, Start: 0}, {Number: 3, Start: 4 * time.Second}}
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -1,9 +1,8 @@
-// Package weights plans the rollout of new weights over model engines. Loading
-// weights takes an engine out of service for a moment and costs all that it
-// kept; answers of older weights lose a part of their worth soon after a
-// version is named, and must end at its deadline. Engines are therefore
-// brought to the newest version at once, a few at a time. An engine skips the
-// versions that were named while it waited. The package is pure.
+// Package weights plans the rollout of new weights over model engines. Loading weights
+// takes an engine out of service for a moment and clears its cache. Answers of older
+// weights lose value soon after a version is announced and are not allowed after its
+// deadline. Engines therefore load the newest version at once, a few at a time, and
+// skip versions announced meanwhile. The package has no state and does no I/O.
 package weights
 
 import (
@@ -12,16 +11,16 @@
 	"time"
 )
 
-// Version is a named version of a model's weights.
+// Version is an announced version of a model's weights.
 type Version struct {
 	Number int
-	// Start is when its time began, by the planner's clock.
+	// Start is the time from which its deadline counts, by the planner's clock.
 	Start time.Duration
 }
 
-// EffectiveStart returns when a version's time began, for a leader since the given time.
-// A change of leaders before the deadline means that the group was disturbed,
-// and the time counts anew; one after the deadline changes nothing.
+// EffectiveStart returns the time from which a version's deadline counts, for a version first seen
+// at seen and a leader elected at since. An election before the deadline restarts the time, since
+// it indicates a disturbance of the group; one after the deadline does not.
 func EffectiveStart(seen, since, deadline time.Duration) time.Duration {
 	if since > seen && since <= seen+deadline {
 		return since
@@ -29,53 +28,52 @@
 	return seen
 }
 
-// Engine is one engine that serves the model.
+// Engine is an engine that serves the model.
 type Engine struct {
 	ID string
-	// Version is what it holds.
+	// Version is the version that it holds.
 	Version int
-	// Loading says that an order is under way.
+	// Loading says that a load is in progress.
 	Loading bool
 }
 
-// Config says by when engines are to be brought to a version.
+// Config holds the timing of rollouts.
 type Config struct {
-	// Deadline is the time from a version's naming after which no request may
-	// start on an older one.
+	// Deadline is the time after the start of a version from which
+	// no request may start on an older one.
 	Deadline time.Duration
-	// Guard is how long before the deadline routers stop using older versions.
+	// Guard is the time before the deadline from which routers no longer use older versions.
 	Guard time.Duration
-	// CancelLead is how long before the deadline requests are given up that wait at an
-	// engine with an older version.
+	// CancelLead is the time before the deadline at which requests
+	// that wait at an engine with an older version are cancelled.
 	CancelLead time.Duration
-	// Grace is how long after a version's naming answers of older ones keep their
-	// whole worth.
+	// Grace is the time after the start of a version during which
+	// answers of older ones keep their full value.
 	Grace time.Duration
-	// LoadTime is about how long a load takes, and Margin the time to spare when
-	// loads are put off.
+	// LoadTime is the estimated duration of a load, and Margin the
+	// time to spare when loads are deferred.
 	LoadTime time.Duration
 	Margin   time.Duration
-	// Divisor is how many engines there are for each load at a time.
+	// Divisor is the number of engines per concurrent load.
 	Divisor int
 }
 
-// Plan is what to do now.
+// Plan is the set of actions due now.
 type Plan struct {
 	// Target is the version to load.
 	Target int
-	// Load lists the engines to order now.
+	// Load lists the IDs of the engines that are to load it now.
 	Load []string
 	// Minimum is the lowest version that may serve now.
 	Minimum int
-	// Expired is the version below which nothing may begin any more.
+	// Expired is the lowest version on which requests may still begin.
 	Expired int
-	// Preferred is the version below which answers have lost a part of their
-	// worth, or are about to.
+	// Preferred is the lowest version whose answers have their full value.
 	Preferred int
 }
 
-// Next returns what to do now for one model. Versions are in rising order.
-// While engines are crowded, loads are put off as long as deadlines allow.
+// Next returns the actions that are due for one model. Versions must be in rising order. While the
+// engines are crowded, loads are deferred as long as the deadlines permit.
 func (c Config) Next(now time.Duration, versions []Version, engines []Engine, crowded bool) Plan {
 	var plan Plan
 	if len(versions) == 0 {
@@ -93,31 +91,31 @@
 			plan.Preferred = v.Number
 		}
 	}
-	plan.Load = c.due(now, versions, engines, crowded)
+	plan.Load = c.toLoad(now, versions, engines, crowded)
 	return plan
 }
 
-// due returns the engines to order now: those that are behind, the oldest
-// version first, as many at a time as load without slowing each other down.
-func (c Config) due(now time.Duration, versions []Version, engines []Engine, crowded bool) []string {
+// toLoad returns the engines that are to load now: outdated ones, the oldest version first, up to
+// the number that may load concurrently.
+func (c Config) toLoad(now time.Duration, versions []Version, engines []Engine, crowded bool) []string {
 	target := versions[len(versions)-1].Number
-	var behind []Engine
+	var outdated []Engine
 	loading := 0
 	for _, e := range engines {
 		switch {
 		case e.Loading:
 			loading++
 		case e.Version < target:
-			behind = append(behind, e)
+			outdated = append(outdated, e)
 		}
 	}
-	slices.SortFunc(behind, func(a, b Engine) int {
+	slices.SortFunc(outdated, func(a, b Engine) int {
 		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.ID, b.ID))
 	})
-	parallel := max(leastParallel, len(engines)/max(c.Divisor, 1))
+	parallel := max(minParallel, len(engines)/max(c.Divisor, 1))
 	var out []string
-	for i, e := range behind {
-		if loading+len(out) >= parallel || (crowded && !c.pressing(now, versions, behind[i:], parallel)) {
+	for i, e := range outdated {
+		if loading+len(out) >= parallel || (crowded && !c.mustStart(now, versions, outdated[i:], parallel)) {
 			break
 		}
 		out = append(out, e.ID)
@@ -125,26 +123,25 @@
 	return out
 }
 
-// pressing tells whether the first of these engines must load now so that all
-// that share its deadline do in time.
-func (c Config) pressing(now time.Duration, versions []Version, behind []Engine, parallel int) bool {
-	deadline := c.deadlineOf(versions, behind[0].Version)
+// mustStart reports whether the first of these engines must load now so that all with the same or
+// an earlier deadline are done in time.
+func (c Config) mustStart(now time.Duration, versions []Version, outdated []Engine, parallel int) bool {
+	deadline := c.deadlineOf(versions, outdated[0].Version)
 	count := 0
-	for _, e := range behind {
+	for _, e := range outdated {
 		if c.deadlineOf(versions, e.Version) <= deadline {
 			count++
 		}
 	}
-	waves := (count + parallel - 1) / parallel
-	return now >= deadline-c.Guard-c.Margin-time.Duration(waves)*c.LoadTime
+	rounds := (count + parallel - 1) / parallel
+	return now >= deadline-c.Guard-c.Margin-time.Duration(rounds)*c.LoadTime
 }
 
-// deadlineOf returns when an engine with this version, which is not the newest,
-// may start no more requests.
+// deadlineOf returns the deadline of an engine that holds a version older than the newest.
 func (c Config) deadlineOf(versions []Version, held int) time.Duration {
 	i := slices.IndexFunc(versions, func(v Version) bool { return v.Number > held })
 	return versions[i].Start + c.Deadline
 }
 
-// leastParallel is how many engines of a small pool load at a time.
-const leastParallel = 2
+// minParallel is the number of concurrent loads in a small pool.
+const minParallel = 2
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -13,7 +13,7 @@
 	return Config{Deadline: 8 * time.Second, Guard: 1400 * time.Millisecond, CancelLead: 250 * time.Millisecond, Divisor: 4}
 }
 
-// loadTime is how long a load takes in these tests.
+// loadTime is the duration of a load in these tests.
 const loadTime = 800 * time.Millisecond
 
 func engines(count, version int) []Engine {
@@ -24,9 +24,8 @@
 	return out
 }
 
-// Loads were put off to the deadline; meanwhile each request on older weights
-// lost a fifth of its worth.
-func TestEnginesAreBroughtAtOnceAFewAtATime(t *testing.T) {
+// Guards against loads that are deferred to the deadline while answers of older weights lose value.
+func TestLoadsStartAtOnceWithBoundedParallelism(t *testing.T) {
 	c := config()
 	versions := []Version{{Number: 2, Start: 0}}
 	pool := engines(12, 1)
@@ -40,32 +39,31 @@
 	assert.DeepEqual(t, c.Next(0, versions, pool, false).Load, []string{"e03"})
 }
 
-// A load costs an engine all that it kept. While requests are refused since
-// engines are behind with reading, there is none to spare.
-func TestLoadsArePutOffWhileEnginesAreCrowded(t *testing.T) {
+// A load clears an engine's cache, so loads wait while the engines lack capacity.
+func TestLoadsAreDeferredWhileEnginesAreCrowded(t *testing.T) {
 	c := config()
 	c.LoadTime, c.Margin = 800*time.Millisecond, 700*time.Millisecond
 	versions := []Version{{Number: 2, Start: 0}}
 	assert.Equal(t, len(c.Next(0, versions, engines(12, 1), true).Load), 0)
-	// 12 engines by threes are 4 loads of 0.8 s: due at 8 - 1.4 - 0.7 - 3.2.
+	// 12 engines, three at a time, need 4 loads of 0.8 s: due at 8 - 1.4 - 0.7 - 3.2.
 	assert.Equal(t, len(c.Next(2600*time.Millisecond, versions, engines(12, 1), true).Load), 0)
 	assert.Equal(t, len(c.Next(2700*time.Millisecond, versions, engines(12, 1), true).Load), 3)
 	assert.Equal(t, len(c.Next(2600*time.Millisecond, versions, engines(12, 1), false).Load), 3)
 }
 
-func TestTheOldestVersionGoesFirst(t *testing.T) {
+func TestOldestVersionIsLoadedFirst(t *testing.T) {
 	pool := engines(3, 2)
 	pool[2].Version = 1
 	versions := []Version{{Number: 2}, {Number: 3}}
 	assert.DeepEqual(t, config().Next(0, versions, pool, false).Load, []string{"e02", "e00"})
 }
 
-func TestVersionsThatFollowShareALoad(t *testing.T) {
+func TestIntermediateVersionsAreSkipped(t *testing.T) {
 	plan := config().Next(5*time.Second, []Version{{Number: 2}, {Number: 3, Start: 3 * time.Second}}, engines(12, 1), false)
 	assert.Equal(t, plan.Target, 3)
 }
 
-func TestMinimumRisesBeforeTheDeadlineAndExpiryLater(t *testing.T) {
+func TestMinimumRisesBeforeExpiry(t *testing.T) {
 	versions := []Version{{Number: 2}}
 	before := config().Next(6500*time.Millisecond, versions, nil, false)
 	guarded := config().Next(6600*time.Millisecond, versions, nil, false)
@@ -76,7 +74,7 @@
 	assert.Equal(t, cut.Expired, 2)
 }
 
-func TestAVersionIsPreferredOnceOlderOnesLoseWorth(t *testing.T) {
+func TestVersionIsPreferredAfterGrace(t *testing.T) {
 	c := config()
 	c.Grace = 1300 * time.Millisecond
 	versions := []Version{{Number: 2}, {Number: 3, Start: time.Second}}
@@ -85,26 +83,24 @@
 	assert.Equal(t, c.Next(2300*time.Millisecond, versions, nil, false).Preferred, 3)
 }
 
-// A leader that was killed at the deadline gave the version another 8 s under
-// the next leader, although its time was over.
-func TestAChangeOfLeadersAfterTheDeadlineGivesNoMoreTime(t *testing.T) {
+// An election after the deadline must not extend it.
+func TestLeaderChangeAfterDeadlineDoesNotExtendIt(t *testing.T) {
 	deadline := 8 * time.Second
 	assert.Equal(t, EffectiveStart(3*time.Second, 11500*time.Millisecond, deadline), 3*time.Second)
 	assert.Equal(t, EffectiveStart(3*time.Second, 9*time.Second, deadline), 9*time.Second)
 	assert.Equal(t, EffectiveStart(3*time.Second, time.Second, deadline), 3*time.Second)
 }
 
-// TestEveryEngineIsBroughtInTime plays rollouts with loads of 0.8 s, wherever
-// there is time for it: when a version is named, the loads under way must end
-// and then all engines be loaded. Without that bound no order of loads can hold
-// the deadline (17 engines by twos, two versions a second apart).
-func TestEveryEngineIsBroughtInTime(t *testing.T) {
+// TestRolloutMeetsDeadline simulates rollouts in which there is
+// time to finish the loads in progress and then load all engines.
+// Without that condition no order of loads can meet the deadline.
+func TestRolloutMeetsDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := config()
 		c.Divisor = rapid.IntRange(2, 6).Draw(t, "divisor")
 		count := rapid.IntRange(1, 60).Draw(t, "engines")
-		parallel := max(leastParallel, count/c.Divisor)
-		if waves := (count+parallel-1)/parallel + 1; time.Duration(waves)*loadTime > c.Deadline-c.Guard {
+		parallel := max(minParallel, count/c.Divisor)
+		if rounds := (count+parallel-1)/parallel + 1; time.Duration(rounds)*loadTime > c.Deadline-c.Guard {
 			t.Skip("not enough time")
 		}
 		var versions []Version
@@ -113,13 +109,13 @@
 			versions = append(versions, Version{Number: i + 2, Start: at})
 			at += time.Duration(rapid.IntRange(1000, 6000).Draw(t, "gap")) * time.Millisecond
 		}
-		playRollout(t, c, versions, engines(count, 1))
+		simulateRollout(t, c, versions, engines(count, 1))
 	})
 }
 
-// playRollout steps time and checks that no engine is older than the minimum,
-// but for those that are being loaded.
-func playRollout(t *rapid.T, c Config, versions []Version, pool []Engine) {
+// simulateRollout steps through time and checks that no engine
+// in service is older than the minimum.
+func simulateRollout(t *rapid.T, c Config, versions []Version, pool []Engine) {
 	const step = 20 * time.Millisecond
 	until := map[string]time.Duration{}
 	target := map[string]int{}
