--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -1,8 +1,7 @@
-// Package prefix turns a prompt into a chain of block digests. Two prompts
-// share their first n digests exactly when they share their scope and their
-// first n blocks, but for hash collisions. Collisions can misplace a request;
-// they cannot serve it foreign content, because the engine compares the
-// prompt itself (see docs/design/placement.md).
+// Package prefix turns a prompt into a chain of block digests. Apart from hash
+// collisions, two prompts share their first n digests exactly if they share
+// their scope and their first n blocks. A collision may misplace a request, but
+// cannot expose other content, because the engine compares the prompt itself.
 package prefix
 
 import (
@@ -12,7 +11,7 @@
 )
 
 const (
-	// BytesPerToken is the mean length of a token that estimates assume.
+	// BytesPerToken is the assumed mean length of a token.
 	BytesPerToken = 4
 	// BlockTokens is the length of a block in tokens.
 	BlockTokens = 64
@@ -20,22 +19,22 @@
 	BlockBytes = BytesPerToken * BlockTokens
 )
 
-// Scope says whose cache entries a prompt may use.
+// Scope determines which cache entries a prompt may use.
 type Scope struct {
 	// Tenant is the name of the tenant that owns the prompt.
 	Tenant string
-	// Shared is the name of a shared prompt that a bundle declares, or empty.
+	// Shared is the name of a shared prompt declared by a bundle, or empty.
 	Shared string
-	// SharedBytes is how much of the prompt belongs to the shared prompt.
+	// SharedBytes is the length of the prompt's part that belongs to the shared prompt.
 	SharedBytes int
 }
 
-// Chain is the digests of the whole blocks of a prompt, first block first.
+// Chain holds the digests of the whole blocks of a prompt, first block first.
 type Chain []uint64
 
-// Digest returns the chain of text under scope, and the prompt's length in
-// tokens, rounded up. Blocks that lie wholly in the shared part are salted
-// with the shared prompt's name, all later ones with the tenant's name too.
+// Digest returns the chain of text under scope, and the estimated number of
+// tokens of text. Blocks that lie wholly in the shared part are salted with
+// the shared prompt's name, all later ones with the tenant's name as well.
 func Digest(text []byte, scope Scope) (chain Chain, tokens int) {
 	tokens = Tokens(len(text))
 	shared := scope.SharedBytes / BlockBytes
@@ -57,10 +56,10 @@
 	return chain, tokens
 }
 
-// Tokens estimates how many tokens a text of n bytes has.
+// Tokens estimates the number of tokens in a text of n bytes, rounded up.
 func Tokens(n int) int { return (n + BytesPerToken - 1) / BytesPerToken }
 
-// Extend returns the digest of a chain that ends in parent, then block.
+// Extend returns the digest of the chain with digest parent extended by block.
 func Extend(parent, block uint64) uint64 {
 	var buffer [16]byte
 	binary.LittleEndian.PutUint64(buffer[:8], parent)
@@ -72,8 +71,7 @@
 	return xxhash.Sum64String(kind + "\x00" + name)
 }
 
-// Head returns the digest at the given depth, or the last one of a shorter
-// chain, or 0 for an empty chain.
+// Head returns the digest at a depth, the last one of a shorter chain, or 0 for an empty chain.
 func (c Chain) Head(depth int) uint64 {
 	if len(c) == 0 || depth <= 0 {
 		return 0
