--- a/internal/decay/decay.go
+++ b/internal/decay/decay.go
@@ -1,4 +1,4 @@
-// Package decay sums amounts that count less the older they are.
+// Package decay provides sums with exponentially decaying terms.
 package decay
 
 import (
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Sum is a sum whose amounts fall by a factor of e in a time that is given with each
-// use. The zero value is ready. It is not safe for concurrent use.
+// Sum is a sum whose terms fall by a factor of e per time constant, which is passed to each call.
+// The zero value is ready to use. It is not safe for concurrent use.
 type Sum struct {
 	sum float64
 	at  time.Duration
 }
 
-// Add counts an amount.
-func (s *Sum) Add(now, over time.Duration, amount float64) {
-	s.sum = s.Value(now, over) + amount
+// Add adds an amount at the time now.
+func (s *Sum) Add(now, timeConstant time.Duration, amount float64) {
+	s.sum = s.Value(now, timeConstant) + amount
 	s.at = now
 }
 
-// Value is the sum as of now.
-func (s *Sum) Value(now, over time.Duration) float64 {
-	return s.sum * math.Exp(-float64(now-s.at)/float64(over))
+// Value returns the sum at the time now.
+func (s *Sum) Value(now, timeConstant time.Duration) float64 {
+	return s.sum * math.Exp(-float64(now-s.at)/float64(timeConstant))
 }
