--- a/internal/placer/limited.go
+++ b/internal/placer/limited.go
@@ -12,10 +12,10 @@
 // ends. In a large pool a few of them are representative.
 const maxReserved = 8
 
-// choose selects an engine whose limit admits the request. It returns the lifetime of the permit to
+// choose selects an engine whose limit admits the request. It returns the term of the permit to
 // send there, or 0 if none is needed. An engine that has reached its limit is left out until it
 // admits requests again, so that its requests spill over to others.
-func (p *Placer) choose(now time.Duration, ask *coordapi.Place, q *backends.Query) (choice backends.Choice, found bool, right time.Duration) {
+func (p *Placer) choose(now time.Duration, ask *coordapi.Place, q *backends.Query) (choice backends.Choice, found bool, permitTerm time.Duration) {
 	for reserved := 0; ; {
 		choice, found = p.pool.Choose(now, q)
 		if p.limits == nil || (found && choice.Late) {
--- a/internal/placer/limited_test.go
+++ b/internal/placer/limited_test.go
@@ -16,16 +16,16 @@
 // newLimitedPlacer returns a placer with n engines of which
 // the first few are limited to rate requests per second.
 func newLimitedPlacer(n, limited int, rate float64) *Placer {
-	bank := ratelimit.NewBank(slog.New(slog.DiscardHandler))
-	bank.Lead(true)
-	bank.Lease(time.Hour)
-	p := New(bank)
+	limiter := ratelimit.NewBank(slog.New(slog.DiscardHandler))
+	limiter.Lead(true)
+	limiter.Lease(time.Hour)
+	p := New(limiter)
 	p.Apply(engines(n), nil, true)
 	var limits []coordapi.LimitWord
 	for _, e := range engines(limited) {
 		limits = append(limits, coordapi.LimitWord{ID: coordapi.BackendID(e.ID), Pool: "llm", Limited: true, Rate: rate})
 	}
-	bank.Hear(0, limits)
+	limiter.Hear(0, limits)
 	return p
 }
 
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -111,7 +111,7 @@
 	defer p.mu.Unlock()
 	r := p.applyReports(now, ask.Router, &ask.Reports)
 	q := p.query(now, ask)
-	choice, found, right := p.choose(now, ask, q)
+	choice, found, permitTerm := p.choose(now, ask, q)
 	if !found {
 		return coordapi.Placed{Room: choice.Room}
 	}
@@ -124,7 +124,7 @@
 		r.open[ask.Number] = &placement{a, from}
 	}
 	out := newReply(&choice)
-	out.Right = right
+	out.Right = permitTerm
 	return out
 }
 
