--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -14,80 +14,76 @@
 	"quinceridge.example/quinceridge/internal/quota"
 )
 
-// tolerance is how far what a back end gets may lie above the rate that it names: within four
-// seconds by half of what that allows and five requests. A bucket takes a fifth of it as
-// its depth, 0.4 of the rate and one request, and may be overdrawn by one: 4.4 times the
-// rate and two requests in four seconds, of 6 times the rate and five. A right that
-// is used at the end of its Term and arrives a quarter of a second later adds 0.75 times the
-// rate, and each change of the leader one request, since a new one begins with
-// empty buckets: three of them within four seconds are within it at any rate.
+// tolerance bounds what a back end gets above the rate that it names: within four seconds, half
+// of what the rate allows and five requests. A bucket's capacity is a fifth of that, 0.4 times
+// the rate plus one request, and it may be overdrawn by one request. This leaves room for a
+// permit that is used at the end of PermitTTL and arrives late, and for changes of the leader,
+// whose successor begins with empty buckets.
 var tolerance = quota.Tolerance{Window: 4 * time.Second, Overshoot: 0.5, Slack: 5, LeaderChanges: 1}
 
 const (
-	// PermitTTL is how long after the question for it a right may be used: some ways between
-	// zones, and a dial.
+	// PermitTTL is how long a permit may be used, counted from its request: a few round trips
+	// between zones and a dial.
 	PermitTTL = 500 * time.Millisecond
-	// leastRate is the rate of one that takes less, or nothing: without a request now and
-	// then nobody would hear that its need is over. Five in four seconds are borne at any.
-	leastRate PerSecond = 0.2
-	// transit is how much longer than another a report may be on its way, by which words
-	// that different routers heard are told apart.
-	transit = 250 * time.Millisecond
-	// claimsTime is the time over which it counts who has asked.
-	claimsTime = 2 * time.Second
-	// leastRoom keeps callers from coming back before a refill shows, and longestRoom bounds
-	// when they are told to.
-	leastRoom   = 50 * time.Millisecond
-	longestRoom = 5 * time.Second
-	// grantKept is how long after a right was granted it may go back: a router tells of it
-	// within a second or two.
-	grantKept = 5 * time.Second
-	// maxTenants bounds the tenants that are told apart at one back end.
+	// minRate is the least rate at which permits are granted. Without an occasional request a
+	// back end that names a rate of 0 could not report that it takes more again.
+	minRate PerSecond = 0.2
+	// reportSkew is the most by which the delays of two routers' reports differ. Observations of
+	// different routers that are closer than this have no known order.
+	reportSkew = 250 * time.Millisecond
+	// averagingTime is the time over which requests and grants are averaged.
+	averagingTime = 2 * time.Second
+	// minRetryAfter keeps callers from returning before a refill shows; maxRetryAfter bounds
+	// their wait.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
+	// grantRetention is how long a granted permit may still be released. Routers report unused
+	// permits within a second or two.
+	grantRetention = 5 * time.Second
+	// maxTenants bounds the tenants tracked for one back end.
 	maxTenants = 256
 )
 
-// Limiter counts what all processes send to back ends that take only so much. Only the leader
-// grants, and while it has its lease: there is no other then. It is safe for concurrent use.
+// Limiter grants permits for requests to back ends that name a limit, for all processes of a
+// deployment. Only the leader grants, and only during its lease. It is safe for concurrent use.
 type Limiter struct {
 	logger *slog.Logger
 
-	mu          sync.Mutex
-	leads       bool
-	leasedUntil time.Duration
-	quota       *quota.Limiter
-	starts      map[coordapi.BackendID]*account
-	// pools are what is known of the starts that have a limit, by pool.
+	mu         sync.Mutex
+	leading    bool
+	leaseUntil time.Duration
+	buckets    *quota.Limiter
+	accounts   map[coordapi.BackendID]*account
+	// pools holds the limited back ends of each pool in sum.
 	pools map[string]*pool
-	// grants are the rights that may still go back.
+	// grants holds the permits that may still be released.
 	grants  map[grantKey]grant
 	sweptAt time.Duration
-	// changes counts what Limited returns.
-	changes int
-	granted uint64
-	denied  uint64
-	back    uint64
+	// changes is the number that Limited returns.
+	changes  int
+	granted  uint64
+	denied   uint64
+	released uint64
 }
 
-// account is one start.
+// account tracks one start of a back end.
 type account struct {
-	pool  string
-	word  word
-	lines bounded.LineLimiter
-	// asked counts the requests of each urgency that wanted a right, and granted those of
-	// each tenant that got one.
+	pool    string
+	current observation
+	lines   bounded.LineLimiter
+	// asked averages the requests by urgency, granted the permits by tenant.
 	asked   map[int]*decay.Sum
 	granted map[string]*decay.Sum
-	// got and denied count rights.
-	got, denied decay.Sum
+	// grants and denials average the back end's verdicts.
+	grants, denials decay.Sum
 }
 
-// pool is what is known of the limited starts of a pool: how many there are, and what they
-// take in sum.
+// pool sums up the limited back ends of a pool: their number and their total rate.
 type pool struct {
 	limited int
 	rate    PerSecond
-	// returns is when those that were turned away could all have been served.
-	returns time.Duration
+	// nextRetry is when all callers refused so far could have been served.
+	nextRetry time.Duration
 }
 
 type grantKey struct {
@@ -100,119 +96,121 @@
 	at      time.Duration
 }
 
-// NewLimiter returns a bank that grants nothing until it leads.
+// NewLimiter returns a limiter that grants nothing until it leads.
 func NewLimiter(logger *slog.Logger) *Limiter {
-	b := &Limiter{logger: logger}
-	b.reset()
-	return b
+	l := &Limiter{logger: logger}
+	l.reset()
+	return l
 }
 
-func (b *Limiter) reset() {
-	b.quota = quota.NewLimiter(tolerance)
-	b.starts, b.pools, b.grants = map[coordapi.BackendID]*account{}, map[string]*pool{}, map[grantKey]grant{}
-	b.leasedUntil = 0
-	b.changes++
+func (l *Limiter) reset() {
+	l.buckets = quota.NewLimiter(tolerance)
+	l.accounts, l.pools, l.grants = map[coordapi.BackendID]*account{}, map[string]*pool{}, map[grantKey]grant{}
+	l.leaseUntil = 0
+	l.changes++
 }
 
-// SetLeading begins or ends a leadership. Nothing is known at its beginning.
-func (b *Limiter) SetLeading(leads bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.reset()
-	b.leads = leads
+// SetLeading begins or ends a leadership. It drops all state.
+func (l *Limiter) SetLeading(leading bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.reset()
+	l.leading = leading
 }
 
-// SetLease notes the end of the leader's lease.
-func (b *Limiter) SetLease(until time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.leasedUntil = until
+// SetLease sets the end of the leader's lease.
+func (l *Limiter) SetLease(until time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.leaseUntil = until
 }
 
-// Observe takes what back ends have said, and returns those whose limit has changed.
-func (b *Limiter) Observe(now time.Duration, words []coordapi.LimitWord) (changed []coordapi.BackendID) {
-	if len(words) == 0 {
+// Observe records reports of limits, and returns the back ends whose limit has changed.
+func (l *Limiter) Observe(now time.Duration, reports []coordapi.LimitWord) (changed []coordapi.BackendID) {
+	if len(reports) == 0 {
 		return nil
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.leads {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.leading {
 		return nil
 	}
-	for i := range words {
-		if b.hear(now, &words[i]) {
-			changed = append(changed, words[i].ID)
+	for i := range reports {
+		if l.observe(now, &reports[i]) {
+			changed = append(changed, reports[i].ID)
 		}
 	}
 	return changed
 }
 
-// hear takes one word, and tells whether it changes a limit.
-func (b *Limiter) hear(now time.Duration, told *coordapi.LimitWord) bool {
-	w := wordOf(now, told)
-	a := b.starts[told.ID]
+// observe records one report, and reports whether it changes the limit.
+func (l *Limiter) observe(now time.Duration, report *coordapi.LimitWord) bool {
+	latest := observationOf(now, report)
+	a := l.accounts[report.ID]
 	if a == nil {
-		if !w.limited || len(b.starts) >= 4*maxKept {
+		if !latest.limited || len(l.accounts) >= 4*maxBackends {
 			return false
 		}
-		a = &account{pool: told.Pool, asked: map[int]*decay.Sum{}, granted: map[string]*decay.Sum{}}
-		b.starts[told.ID] = a
+		a = &account{pool: report.Pool, asked: map[int]*decay.Sum{}, granted: map[string]*decay.Sum{}}
+		l.accounts[report.ID] = a
 	} else {
-		w = w.after(a.word, transit)
+		latest = latest.merge(a.current, reportSkew)
 	}
-	before := a.word
-	a.word = w
-	if w.same(before) {
+	before := a.current
+	a.current = latest
+	if latest.equal(before) {
 		return false
 	}
-	if w.limited != before.limited {
-		b.changes++
+	if latest.limited != before.limited {
+		l.changes++
 	}
-	b.sum(a.pool, before, w)
-	if w.limited {
-		b.quota.SetLimit(now, string(told.ID), quota.Limit{Rate: quota.Amount(w.granted())})
+	l.updatePool(a.pool, before, latest)
+	if latest.limited {
+		l.buckets.SetLimit(now, string(report.ID), quota.Limit{Rate: quota.Amount(latest.grantRate())})
 	} else {
-		b.quota.Forget(string(told.ID))
+		l.buckets.Forget(string(report.ID))
 	}
-	if !a.lines.Allow(now, maxLines) {
+	if !a.lines.Allow(now, maxLogLines) {
 		return true
 	}
-	b.logger.Info("limit of a back end", "part", "ratelimit", "backend", told.ID, "pool", a.pool, "limited", w.limited, "rate", float64(w.rate),
-		"before", float64(before.rate), "heard_ms_ago", (now - w.heard).Milliseconds())
+	l.logger.Info("back end limit changed", "part", "ratelimit", "backend", report.ID, "pool", a.pool, "limited", latest.limited, "rate", float64(latest.rate),
+		"before", float64(before.rate), "heard_ms_ago", (now - latest.received).Milliseconds())
 	return true
 }
 
-// sum brings a pool's sum up to date.
-func (b *Limiter) sum(name string, before, w word) {
-	p := b.pools[name]
+// updatePool replaces a back end's contribution to the sums of its pool.
+func (l *Limiter) updatePool(poolName string, before, after observation) {
+	p := l.pools[poolName]
 	if p == nil {
 		p = &pool{}
-		b.pools[name] = p
+		l.pools[poolName] = p
 	}
 	if before.limited {
-		p.rate -= before.granted()
+		p.rate -= before.grantRate()
 		p.limited--
 	}
-	if w.limited {
-		p.rate += w.granted()
+	if after.limited {
+		p.rate += after.grantRate()
 		p.limited++
 	}
 }
 
-// Verdict is what becomes of a wish to send.
+// Verdict is the answer to a Request.
 type Verdict struct {
-	// Unlimited says that the back end has no limit; else Granted whether there is a right.
+	// Unlimited is set if the back end has no limit. Otherwise Granted says whether there is a
+	// permit.
 	Unlimited bool
 	Granted   bool
-	// Wait is when the back end takes another request, whosever it is; 0 if it keeps its
-	// next for others.
+	// Wait is when the back end takes another request from anyone; 0 if its next permit is kept
+	// for others.
 	Wait time.Duration
 }
 
-// Allowed tells whether the request may be sent.
+// Allowed reports whether the request may be sent.
 func (v Verdict) Allowed() bool { return v.Unlimited || v.Granted }
 
-// Request names what is to be sent: its right goes back by router and number.
+// Request asks for a permit to send one request to a back end. Router and Number identify the
+// permit when it is released.
 type Request struct {
 	Router   string
 	Number   uint64
@@ -220,161 +218,162 @@
 	Claimant coordapi.Claimant
 }
 
-// Take grants a right to send, if there is one.
-func (b *Limiter) Take(now time.Duration, w Request) Verdict {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	a := b.starts[w.Backend]
-	if a == nil || !a.word.limited {
+// Take grants a permit if one is available.
+func (l *Limiter) Take(now time.Duration, r Request) Verdict {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	a := l.accounts[r.Backend]
+	if a == nil || !a.current.limited {
 		return Verdict{Unlimited: true}
 	}
-	if !b.leads || now >= b.leasedUntil {
-		b.denied++
-		return Verdict{Wait: leastRoom}
+	if !l.leading || now >= l.leaseUntil {
+		l.denied++
+		return Verdict{Wait: minRetryAfter}
 	}
-	a.asks(now, w.Claimant.Urgency)
-	name := string(w.Backend)
-	if a.givesWay(now, w.Claimant) && b.quota.Wait(now, name, b.leftForOthers(name)) > 0 {
-		return b.deny(now, a, b.quota.Wait(now, name, 0))
+	a.countRequest(now, r.Claimant.Urgency)
+	name := string(r.Backend)
+	if a.yields(now, r.Claimant) && l.buckets.Wait(now, name, l.reserve(name)) > 0 {
+		return l.deny(now, a, l.buckets.Wait(now, name, 0))
 	}
-	if _, admitted := b.quota.Take(now, name, 1); !admitted {
-		return b.deny(now, a, max(b.quota.Wait(now, name, 0), time.Millisecond))
+	if _, admitted := l.buckets.Take(now, name, 1); !admitted {
+		return l.deny(now, a, max(l.buckets.Wait(now, name, 0), time.Millisecond))
 	}
-	a.grants(now, w.Claimant.Tenant)
-	a.got.Add(now, claimsTime, 1)
-	b.sweep(now)
-	b.grants[grantKey{w.Router, w.Number}] = grant{w.Backend, now}
-	b.granted++
+	a.countGrant(now, r.Claimant.Tenant)
+	a.grants.Add(now, averagingTime, 1)
+	l.sweep(now)
+	l.grants[grantKey{r.Router, r.Number}] = grant{r.Backend, now}
+	l.granted++
 	return Verdict{Granted: true}
 }
 
-func (b *Limiter) deny(now time.Duration, a *account, wait time.Duration) Verdict {
-	b.denied++
-	a.denied.Add(now, claimsTime, 1)
+func (l *Limiter) deny(now time.Duration, a *account, wait time.Duration) Verdict {
+	l.denied++
+	a.denials.Add(now, averagingTime, 1)
 	return Verdict{Wait: wait}
 }
 
-// List returns the limits in force with what was made of them, by back end.
-func (b *Limiter) List(now time.Duration) []coordapi.BackendLimit {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// List returns the limits in force with their recent grants and denials, sorted by back end.
+func (l *Limiter) List(now time.Duration) []coordapi.BackendLimit {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var out []coordapi.BackendLimit
-	for id, a := range b.starts {
-		if !a.word.limited {
+	for id, a := range l.accounts {
+		if !a.current.limited {
 			continue
 		}
-		out = append(out, coordapi.BackendLimit{ID: id, Pool: a.pool, Rate: float64(a.word.rate), HeardAgo: now - a.word.heard,
-			Granted: a.got.Value(now, claimsTime) / claimsTime.Seconds(), Denied: a.denied.Value(now, claimsTime) / claimsTime.Seconds()})
+		out = append(out, coordapi.BackendLimit{ID: id, Pool: a.pool, Rate: float64(a.current.rate), HeardAgo: now - a.current.received,
+			Granted: a.grants.Value(now, averagingTime) / averagingTime.Seconds(), Denied: a.denials.Value(now, averagingTime) / averagingTime.Seconds()})
 	}
 	slices.SortFunc(out, func(x, y coordapi.BackendLimit) int { return cmp.Compare(x.ID, y.ID) })
 	return out
 }
 
-// RetryAfter is when there is room for a request of a pool that was turned away, at one that takes
-// only so much: behind those that were turned away before it.
-func (b *Limiter) RetryAfter(now time.Duration, name string) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := b.pools[name]
+// RetryAfter returns when a caller refused by the limited back ends of a pool should try again.
+// Callers are spaced at the total rate of the pool.
+func (l *Limiter) RetryAfter(now time.Duration, poolName string) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	p := l.pools[poolName]
 	if p == nil || p.limited == 0 {
 		return 0
 	}
 	step := time.Duration(float64(time.Second) / float64(p.rate))
-	p.returns = min(max(p.returns, now)+step, now+longestRoom)
-	return max(p.returns-now, leastRoom)
+	p.nextRetry = min(max(p.nextRetry, now)+step, now+maxRetryAfter)
+	return max(p.nextRetry-now, minRetryAfter)
 }
 
-// Release takes rights back with which nothing was sent, each once, and returns whose they
-// were.
-func (b *Limiter) Release(now time.Duration, router string, numbers []uint64) (of []coordapi.BackendID) {
+// Release takes back unused permits, each once, and returns their back ends.
+func (l *Limiter) Release(now time.Duration, router string, numbers []uint64) (backends []coordapi.BackendID) {
 	if len(numbers) == 0 {
 		return nil
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, number := range numbers {
 		key := grantKey{router, number}
-		g, known := b.grants[key]
+		g, known := l.grants[key]
 		if !known {
 			continue
 		}
-		delete(b.grants, key)
-		b.quota.Charge(now, string(g.backend), -1)
-		b.back++
-		of = append(of, g.backend)
+		delete(l.grants, key)
+		l.buckets.Charge(now, string(g.backend), -1)
+		l.released++
+		backends = append(backends, g.backend)
 	}
-	return of
+	return backends
 }
 
-// sweep forgets the grants that can't go back any more, and words that are long over.
-func (b *Limiter) sweep(now time.Duration) {
-	if now-b.sweptAt < grantKept {
+// sweep drops grants that can no longer be released, and back ends whose limit ended long ago.
+func (l *Limiter) sweep(now time.Duration) {
+	if now-l.sweptAt < grantRetention {
 		return
 	}
-	b.sweptAt = now
-	maps.DeleteFunc(b.grants, func(_ grantKey, g grant) bool { return now-g.at > grantKept })
-	maps.DeleteFunc(b.starts, func(_ coordapi.BackendID, a *account) bool { return !a.word.limited && now-a.word.heard > overKept })
+	l.sweptAt = now
+	maps.DeleteFunc(l.grants, func(_ grantKey, g grant) bool { return now-g.at > grantRetention })
+	maps.DeleteFunc(l.accounts, func(_ coordapi.BackendID, a *account) bool {
+		return !a.current.limited && now-a.current.received > endedRetention
+	})
 }
 
-// Remove forgets starts that are gone.
-func (b *Limiter) Remove(ids []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Remove drops back ends that have departed.
+func (l *Limiter) Remove(ids []string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, name := range ids {
 		id := coordapi.BackendID(name)
-		a := b.starts[id]
+		a := l.accounts[id]
 		if a == nil {
 			continue
 		}
-		b.sum(a.pool, a.word, word{})
-		b.quota.Forget(name)
-		delete(b.starts, id)
-		b.changes++
+		l.updatePool(a.pool, a.current, observation{})
+		l.buckets.Forget(name)
+		delete(l.accounts, id)
+		l.changes++
 	}
 }
 
-// Limited returns the starts that have a limit, sorted, and a number that changes when they
-// do.
-func (b *Limiter) Limited() (ids []coordapi.BackendID, changes int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for id, a := range b.starts {
-		if a.word.limited {
+// Limited returns the back ends that have a limit, sorted, and a number that changes when the
+// list does.
+func (l *Limiter) Limited() (ids []coordapi.BackendID, changes int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for id, a := range l.accounts {
+		if a.current.limited {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
-	return ids, b.changes
+	return ids, l.changes
 }
 
-// Changes is the number that Limited returns.
-func (b *Limiter) Changes() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.changes
+// Changes returns the same number as Limited.
+func (l *Limiter) Changes() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.changes
 }
 
-// Counts are how many rights were granted, denied and taken back.
-func (b *Limiter) Counts() (granted, denied, back uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.granted, b.denied, b.back
+// Counts returns how many permits were granted, denied and released.
+func (l *Limiter) Counts() (granted, denied, released uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.granted, l.denied, l.released
 }
 
-// asks notes that a request of some urgency wants a right.
-func (a *account) asks(now time.Duration, urgency int) {
-	count(a.asked, urgency).Add(now, claimsTime, 1)
+// countRequest counts a request by its urgency.
+func (a *account) countRequest(now time.Duration, urgency int) {
+	sumFor(a.asked, urgency).Add(now, averagingTime, 1)
 }
 
-// grants notes that a tenant's request got one.
-func (a *account) grants(now time.Duration, tenant string) {
+// countGrant counts a permit by its tenant.
+func (a *account) countGrant(now time.Duration, tenant string) {
 	if len(a.granted) >= maxTenants {
 		clear(a.granted)
 	}
-	count(a.granted, tenant).Add(now, claimsTime, 1)
+	sumFor(a.granted, tenant).Add(now, averagingTime, 1)
 }
 
-func count[K cmp.Ordered](sums map[K]*decay.Sum, key K) *decay.Sum {
+func sumFor[K cmp.Ordered](sums map[K]*decay.Sum, key K) *decay.Sum {
 	s := sums[key]
 	if s == nil {
 		s = &decay.Sum{}
@@ -383,30 +382,30 @@
 	return s
 }
 
-// leftForOthers is what a request leaves in the bucket that gives way to others: all but one
-// place of its depth, for as many of them as may come at once, and one at least.
-func (b *Limiter) leftForOthers(name string) quota.Amount { return max(b.quota.Capacity(name)-1, 1) }
+// reserve is what a request that yields leaves in the bucket: all but one request of its
+// capacity, and one at least.
+func (l *Limiter) reserve(name string) quota.Amount { return max(l.buckets.Capacity(name)-1, 1) }
 
-// lately is what a sum must hold for its last request to be of the last two or three
-// claimsTime.
-const lately = 0.1
+// minRecent is the least average that counts as recent, about two or three times averagingTime
+// after the last request.
+const minRecent = 0.1
 
-// givesWay tells whether a request leaves the next place for others: while more urgent ones
-// ask, and while its tenant has got more than its even part and others less. As long as one
-// place is left, nobody is turned away for it, and what others don't take is used.
-func (a *account) givesWay(now time.Duration, c coordapi.Claimant) bool {
+// yields reports whether a request leaves the next permit to others: to more urgent requests, or
+// to other tenants if its own has had more than an even share. It is not refused while the
+// bucket holds more than the reserve, so the rate is used in full.
+func (a *account) yields(now time.Duration, c coordapi.Claimant) bool {
 	for urgency, s := range a.asked {
-		if urgency < c.Urgency && s.Value(now, claimsTime) > lately {
+		if urgency < c.Urgency && s.Value(now, averagingTime) > minRecent {
 			return true
 		}
 	}
 	sum, tenants := 0.0, 0
 	for _, s := range a.granted {
-		if v := s.Value(now, claimsTime); v > lately {
+		if v := s.Value(now, averagingTime); v > minRecent {
 			sum += v
 			tenants++
 		}
 	}
-	mine := a.granted[c.Tenant]
-	return tenants > 1 && mine != nil && mine.Value(now, claimsTime) > sum/float64(tenants)+1
+	own := a.granted[c.Tenant]
+	return tenants > 1 && own != nil && own.Value(now, averagingTime) > sum/float64(tenants)+1
 }
--- a/internal/ratelimit/observation.go
+++ b/internal/ratelimit/observation.go
@@ -6,49 +6,53 @@
 	"quinceridge.example/quinceridge/internal/coordapi"
 )
 
-// word is what one answer said: its back end made it at some time between when the request
-// was written and when the answer's head was read.
-type word struct {
-	sent, heard time.Duration
-	// limited says that there is a limit, and rate which.
+// observation is the limit that one response named. The back end set it at some time between
+// sending the request and receiving the head of the response.
+type observation struct {
+	sent, received time.Duration
+	// limited says whether there is a limit; rate is its value.
 	limited bool
 	rate    PerSecond
 }
 
-// same tells whether two words say the same.
-func (w word) same(other word) bool { return w.limited == other.limited && w.rate == other.rate }
+// equal reports whether both observations have the same limit.
+func (o observation) equal(other observation) bool {
+	return o.limited == other.limited && o.rate == other.rate
+}
 
-// tightens tells whether a word allows no more than another.
-func (w word) tightens(other word) bool { return w.limited && (!other.limited || w.rate <= other.rate) }
+// tightens reports whether o allows no more than other.
+func (o observation) tightens(other observation) bool {
+	return o.limited && (!other.limited || o.rate <= other.rate)
+}
 
-// granted is the rate at which rights are granted while the word holds.
-func (w word) granted() PerSecond { return max(w.rate, leastRate) }
+// grantRate is the rate at which permits are granted under the observation.
+func (o observation) grantRate() PerSecond { return max(o.rate, minRate) }
 
-// after returns what holds once a word has come, beside the one that holds. Answers overtake
-// each other: only one whose request was written after the other was read, by more than
-// slack, is surely the newer. Of two that crossed the tighter holds until a newer comes: to
-// send too little for one answer's time costs less than to send too much.
-func (w word) after(held word, slack time.Duration) word {
+// merge returns the observation that holds once o has been made beside current. Responses
+// overtake each other: o is surely newer only if its request was sent after current was
+// received, by more than slack. If the order is unknown the tighter limit holds, since sending
+// too little for a moment costs less than sending too much.
+func (o observation) merge(current observation, slack time.Duration) observation {
 	switch {
-	case w.sent >= held.heard+slack:
-		return w
-	case w.heard+slack <= held.sent:
-		return held
-	case w.tightens(held):
-		w.heard = max(w.heard, held.heard)
-		return w
+	case o.sent >= current.received+slack:
+		return o
+	case o.received+slack <= current.sent:
+		return current
+	case o.tightens(current):
+		o.received = max(o.received, current.received)
+		return o
 	}
-	return held
+	return current
 }
 
-// wordOf returns what a process told, by the clock of who hears it. That one may be of another
-// build, or wrong: no rate is beyond what an answer can name, and no word from the future.
-func wordOf(now time.Duration, w *coordapi.LimitWord) word {
-	rate := min(max(PerSecond(w.Rate), 0), highest)
-	return word{sent: now - max(w.Sent, 0), heard: now - max(w.Heard, 0), limited: w.Limited, rate: rate}
+// observationOf converts a report, by the local clock. The sender may be another build or
+// faulty, so rates are clamped and times lie in the past.
+func observationOf(now time.Duration, r *coordapi.LimitWord) observation {
+	rate := min(max(PerSecond(r.Rate), 0), maxRate)
+	return observation{sent: now - max(r.Sent, 0), received: now - max(r.Heard, 0), limited: r.Limited, rate: rate}
 }
 
-// tell is a word for others.
-func (w word) tell(now time.Duration, id coordapi.BackendID, pool string) coordapi.LimitWord {
-	return coordapi.LimitWord{ID: id, Pool: pool, Limited: w.limited, Rate: float64(w.rate), Sent: now - w.sent, Heard: now - w.heard}
+// report returns the observation as a report to the leader.
+func (o observation) report(now time.Duration, id coordapi.BackendID, pool string) coordapi.LimitWord {
+	return coordapi.LimitWord{ID: id, Pool: pool, Limited: o.limited, Rate: float64(o.rate), Sent: now - o.sent, Heard: now - o.received}
 }
--- a/internal/ratelimit/parse_test.go
+++ b/internal/ratelimit/parse_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestWhatALimitSays(t *testing.T) {
+func TestParseRate(t *testing.T) {
 	const name = "Engine-Limit"
 	cases := map[string]struct {
 		values  []string
@@ -22,7 +22,7 @@
 		"blanks around":   {[]string{" 1.3 "}, 1.3, true, false},
 		"zero":            {[]string{"0"}, 0, true, false},
 		"without a digit": {[]string{".5"}, 0.5, true, false},
-		"huge":            {[]string{strings.Repeat("9", 400)}, highest, true, false},
+		"huge":            {[]string{strings.Repeat("9", 400)}, maxRate, true, false},
 		"negative":        {[]string{"-1"}, 0, false, true},
 		"not a number":    {[]string{"NaN"}, 0, false, true},
 		"infinite":        {[]string{"Inf"}, 0, false, true},
@@ -44,7 +44,7 @@
 			if c.values != nil {
 				header[name] = c.values
 			}
-			rate, limited, err := rateOf(header, name)
+			rate, limited, err := parseRate(header, name)
 			assert.Equal(t, rate, c.rate)
 			assert.Equal(t, limited, c.limited)
 			assert.Equal(t, err != nil, c.bad, "%v", err)
@@ -52,13 +52,13 @@
 	}
 }
 
-func FuzzRateOf(f *testing.F) {
+func FuzzParseRate(f *testing.F) {
 	for _, seed := range []string{"1", "0.4", "-1", "NaN", "1e300", "", " 1", "1,2", strings.Repeat("9", 400)} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		rate, limited, err := rateOf(http.Header{"X": {text}}, "X")
-		if err == nil && !(limited && rate >= 0 && rate <= highest) || err != nil && limited {
+		rate, limited, err := parseRate(http.Header{"X": {text}}, "X")
+		if err == nil && !(limited && rate >= 0 && rate <= maxRate) || err != nil && limited {
 			t.Fatalf("%q: %v %v %v", text, rate, limited, err)
 		}
 	})
--- a/internal/ratelimit/permit.go
+++ b/internal/ratelimit/permit.go
@@ -9,53 +9,54 @@
 	"quinceridge.example/quinceridge/internal/coordapi"
 )
 
-// ErrNoPermit marks what is not sent because its back end takes only so much from all
-// machines together, and nobody has granted it.
-var ErrNoPermit = errors.New("the back end takes only so much from all machines")
+// ErrNoPermit marks requests that were not sent for want of a permit.
+var ErrNoPermit = errors.New("the back end limits its request rate")
 
-// Permit is the right to send one request to one start of a back end. It is used up by the
-// send; one that is not used goes back to who granted it, once.
+// Permit allows sending one request to one start of a back end. Sending uses it up; an unused
+// permit is released once.
 type Permit struct {
 	backend coordapi.BackendID
-	// number names it to who granted it.
+	// number identifies the permit to the limiter.
 	number uint64
-	// until is when it ends, by clock.Now; 0 for never, if the back end names no limit.
-	until time.Duration
-	spent atomic.Bool
+	// expires is by clock.Now; 0 for never, if the back end has no limit.
+	expires time.Duration
+	used    atomic.Bool
 }
 
-// UnlimitedPermit returns a right to a start that names no limit, for all that the leader knows.
+// UnlimitedPermit returns a permit for a back end that has no limit as far as the leader has
+// observed.
 func UnlimitedPermit(id coordapi.BackendID) *Permit { return &Permit{backend: id} }
 
-// NewPermit returns a right that was asked for at a time by clock.Now, under a number, and
-// lasts for a term from then on: it may have been granted at any time since.
-func NewPermit(id coordapi.BackendID, number uint64, asked, term time.Duration) *Permit {
-	return &Permit{backend: id, number: number, until: asked + term}
+// NewPermit returns a permit with the number under which it was requested. Its TTL counts from
+// the request, by clock.Now, since the time of the grant is unknown.
+func NewPermit(id coordapi.BackendID, number uint64, requested, ttl time.Duration) *Permit {
+	return &Permit{backend: id, number: number, expires: requested + ttl}
 }
 
-// Permit is what a verdict allows, nil for nothing.
-func (v Verdict) Permit(id coordapi.BackendID, number uint64, asked time.Duration) *Permit {
+// Permit returns the permit of a verdict, nil if there is none.
+func (v Verdict) Permit(id coordapi.BackendID, number uint64, requested time.Duration) *Permit {
 	switch {
 	case v.Unlimited:
 		return UnlimitedPermit(id)
 	case v.Granted:
-		return NewPermit(id, number, asked, PermitTTL)
+		return NewPermit(id, number, requested, PermitTTL)
 	}
 	return nil
 }
 
-// Number names the right to who granted it.
-func (r *Permit) Number() uint64 { return r.number }
+// Number identifies the permit to the limiter.
+func (p *Permit) Number() uint64 { return p.number }
 
-// free tells whether the right lasts, since there is no limit.
-func (r *Permit) free() bool { return r.until == 0 }
+// unlimited reports whether the permit is for a back end without a limit.
+func (p *Permit) unlimited() bool { return p.expires == 0 }
 
-// holds tells whether something may be sent to a start with the right. A nil right is none.
-func (r *Permit) holds(now time.Duration, id coordapi.BackendID) bool {
-	return r != nil && r.backend == id && (r.free() || now < r.until) && !r.spent.Load()
+// valid reports whether a request may be sent to a back end with the permit. A nil permit is not
+// valid.
+func (p *Permit) valid(now time.Duration, id coordapi.BackendID) bool {
+	return p != nil && p.backend == id && (p.unlimited() || now < p.expires) && !p.used.Load()
 }
 
-// spend uses the right up, and tells whether it held.
-func (r *Permit) spend(now time.Duration, id coordapi.BackendID) bool {
-	return r.holds(now, id) && (!r.spent.Swap(true) || r.free())
+// consume uses the permit up, and reports whether it was valid.
+func (p *Permit) consume(now time.Duration, id coordapi.BackendID) bool {
+	return p.valid(now, id) && (!p.used.Swap(true) || p.unlimited())
 }
--- a/internal/ratelimit/registry.go
+++ b/internal/ratelimit/registry.go
@@ -1,17 +1,16 @@
-// Package ratelimit keeps all processes of a deployment together to what a back end takes
-// from them in sum. One in need names in its answers a rate of requests, and holds to it for
-// as long as it names it.
+// Package ratelimit keeps all processes of a deployment together within the request rates that
+// back ends name. A back end under load names a rate in its responses, and the limit holds for
+// as long as it does.
 //
-// Whoever sends to such a back end needs a right for each request, whatever it is for: a
-// request's first try, a repeat, a resumed stream, an order or a report. The leader of the
-// coordinators keeps the Bank that grants them, along with a placement or when it is asked;
-// a Register is the side of a process that sends. It asks for the right in the last look
-// before a write, so that a choice that is older than an answer, or made where the limit is
-// not known, sends nothing.
+// Each request to such a back end needs a permit, whatever its kind: first attempts, retries,
+// resumed streams, orders and reports. The leader of the coordinators grants permits from its
+// Limiter, along with a placement or on request. A sending process checks its permit in a
+// Registry just before the write, so that a choice made before the limit was observed sends
+// nothing.
 //
-// Nobody grants while no leader is known: others are sent to then. To let each send a part of
-// its own would leave most of a limit unused, or break it while the last leader's rights are
-// still out, and without a leader no process has the right to serve for long.
+// Without a leader no permits are granted and requests go to other back ends. Splitting the rate
+// evenly between routers instead would leave most of it unused, and could exceed it while
+// permits of the last leader are outstanding.
 package ratelimit
 
 import (
@@ -32,289 +31,291 @@
 )
 
 const (
-	// maxKept bounds how many starts are kept, some 150 B each.
-	maxKept = 4096
-	// maxLines bounds the log lines on one start's limit within a second: a back end may name
-	// another rate in each answer.
-	maxLines = 4
-	// overKept is how long it is remembered that a start names no limit any more: an older
-	// word may still be on its way.
-	overKept = 10 * time.Second
-	// maxUnused bounds the unused rights that wait to be told.
-	maxUnused = 1024
+	// maxBackends bounds the back ends in a Registry.
+	maxBackends = 4096
+	// maxLogLines bounds the log lines a second on one back end's limit, which may change with
+	// each response.
+	maxLogLines = 4
+	// endedRetention is how long a back end is kept after its limit ended, since older reports
+	// may still arrive.
+	endedRetention = 10 * time.Second
+	// maxReleased bounds the released permits that wait to be reported.
+	maxReleased = 1024
 )
 
-// Registry is what this process knows of limits, and the look before each send. It is safe
-// for concurrent use.
+// Registry holds the limits that this process has observed, and checks each request before it is
+// sent. It is safe for concurrent use.
 type Registry struct {
 	headers vocabulary.Headers
 	logger  *slog.Logger
-	// clock is clock.Now but in tests.
+	// clock is clock.Now except in tests.
 	clock func() time.Duration
-	// LimitedResponses counts the answers that named a limit, Used the rights with which something was
-	// sent, and Kept the sends that were kept back for want of one.
+	// LimitedResponses counts the responses that named a limit, PermitsUsed the permits
+	// consumed, and SendsBlocked the requests not sent for want of a permit.
 	LimitedResponses atomic.Uint64
 	PermitsUsed      atomic.Uint64
 	SendsBlocked     atomic.Uint64
 
 	mu sync.Mutex
-	// starts are those that have named a limit in an answer to this process.
-	starts map[coordapi.BackendID]*start
-	// announced are those of which the leader says that they have a limit.
+	// backends holds those that have named a limit in a response to this process.
+	backends map[coordapi.BackendID]*backend
+	// announced holds the back ends that have a limit according to the leader.
 	announced map[coordapi.BackendID]struct{}
-	// untold are the starts whose word the leader has not been told.
-	untold map[coordapi.BackendID]struct{}
-	// unused are the numbers of rights that were not used.
-	unused []uint64
-	// unreadable are the log lines on answers that can't be read.
-	unreadable bounded.LineLimiter
+	// unreported holds the back ends whose limit has not been reported to the leader.
+	unreported map[coordapi.BackendID]struct{}
+	// released holds the numbers of unused permits that have not been reported.
+	released []uint64
+	// invalidLines limits the log lines on limits that cannot be parsed.
+	invalidLines bounded.LineLimiter
 }
 
-// start is what one start of a back end has said.
-type start struct {
-	pool  string
-	word  word
-	lines bounded.LineLimiter
+// backend is the limit of one start of a back end.
+type backend struct {
+	pool    string
+	current observation
+	lines   bounded.LineLimiter
 }
 
-// New returns a register of nothing.
+// New returns an empty registry.
 func New(headers vocabulary.Headers, logger *slog.Logger) *Registry {
-	return &Registry{headers: headers, logger: logger, clock: clock.Now, starts: map[coordapi.BackendID]*start{},
-		announced: map[coordapi.BackendID]struct{}{}, untold: map[coordapi.BackendID]struct{}{}}
+	return &Registry{headers: headers, logger: logger, clock: clock.Now, backends: map[coordapi.BackendID]*backend{},
+		announced: map[coordapi.BackendID]struct{}{}, unreported: map[coordapi.BackendID]struct{}{}}
 }
 
-// ObserveResponse takes what the head of an answer says of the limit of the back end that its
-// request was meant for. Sent is when that was written, by clock.Now, and instance how it
-// named the back end.
-func (g *Registry) ObserveResponse(from pushback.Backend, instance string, sent time.Duration, answer *http.Response) {
-	if from.ID == "" || !g.headers.IsFrom(instance, answer) {
+// ObserveResponse records the limit in the head of a response. From is the back end that the
+// request was meant for, instance the name under which the request addressed it, and sent when
+// the request was written, by clock.Now.
+func (r *Registry) ObserveResponse(from pushback.Backend, instance string, sent time.Duration, response *http.Response) {
+	if from.ID == "" || !r.headers.IsFrom(instance, response) {
 		return
 	}
-	rate, limited, err := rateOf(answer.Header, g.headers.Limit)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	now := g.clock()
+	rate, limited, err := parseRate(response.Header, r.headers.Limit)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.clock()
 	if err != nil {
-		if g.unreadable.Allow(now, 1) {
-			g.logger.Warn("limit cannot be read", "part", "ratelimit", "backend", from.ID, "error", err.Error())
+		if r.invalidLines.Allow(now, 1) {
+			r.logger.Warn("invalid limit header ignored", "part", "ratelimit", "backend", from.ID, "error", err.Error())
 		}
 		return
 	}
-	s := g.starts[from.ID]
-	if s == nil && !limited {
+	b := r.backends[from.ID]
+	if b == nil && !limited {
 		return
 	}
 	if limited {
-		g.LimitedResponses.Add(1)
+		r.LimitedResponses.Add(1)
 	}
-	w := word{sent: sent, heard: now, limited: limited, rate: rate}
-	if s == nil {
-		g.makeRoom(now)
-		s = &start{pool: from.Pool}
-		g.starts[from.ID] = s
+	latest := observation{sent: sent, received: now, limited: limited, rate: rate}
+	if b == nil {
+		r.evict(now)
+		b = &backend{pool: from.Pool}
+		r.backends[from.ID] = b
 	} else {
-		w = w.after(s.word, 0)
+		latest = latest.merge(b.current, 0)
 	}
-	g.hear(from, s, w, answer.StatusCode)
+	r.update(from, b, latest, response.StatusCode)
 }
 
-// hear keeps the word that holds now, and says what it changes.
-func (g *Registry) hear(from pushback.Backend, s *start, w word, status int) {
-	before := s.word
-	s.word = w
-	if w.same(before) {
+// update sets the observation that holds for a back end, and logs a change.
+func (r *Registry) update(from pushback.Backend, b *backend, latest observation, status int) {
+	before := b.current
+	b.current = latest
+	if latest.equal(before) {
 		return
 	}
-	g.untold[from.ID] = struct{}{}
-	if !s.lines.Allow(g.clock(), maxLines) {
+	r.unreported[from.ID] = struct{}{}
+	if !b.lines.Allow(r.clock(), maxLogLines) {
 		return
 	}
-	text := "back end names a limit"
+	message := "back end set a limit"
 	switch {
-	case !w.limited:
-		text = "back end names no limit any more"
+	case !latest.limited:
+		message = "back end removed its limit"
 	case before.limited:
-		text = "back end names another limit"
+		message = "back end changed its limit"
 	}
-	g.logger.Info(text, "part", "ratelimit", "backend", from.ID, "pool", from.Pool, "rate", float64(w.rate), "before", float64(before.rate), "status", status)
+	r.logger.Info(message, "part", "ratelimit", "backend", from.ID, "pool", from.Pool, "rate", float64(latest.rate), "before", float64(before.rate), "status", status)
 }
 
-// makeRoom forgets what is long over, and the starts heard of least lately if there are
-// still too many.
-func (g *Registry) makeRoom(now time.Duration) {
-	if len(g.starts) < maxKept {
+// evict makes room for a back end: it drops those whose limit ended long ago, then the quarter
+// observed least recently.
+func (r *Registry) evict(now time.Duration) {
+	if len(r.backends) < maxBackends {
 		return
 	}
-	maps.DeleteFunc(g.starts, func(_ coordapi.BackendID, s *start) bool { return !s.word.limited && now-s.word.heard > overKept })
-	if len(g.starts) < maxKept {
+	maps.DeleteFunc(r.backends, func(_ coordapi.BackendID, b *backend) bool {
+		return !b.current.limited && now-b.current.received > endedRetention
+	})
+	if len(r.backends) < maxBackends {
 		return
 	}
-	// What is untold of a start that is forgotten is passed over in News.
-	bounded.DropOldest(g.starts, maxKept/4, func(s *start) time.Duration { return s.word.heard })
+	// TakeUnreported skips the back ends dropped here.
+	bounded.DropOldest(r.backends, maxBackends/4, func(b *backend) time.Duration { return b.current.received })
 }
 
-// Limited tells whether a start may be sent to with a right only.
-func (g *Registry) Limited(id coordapi.BackendID) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.limited(id)
+// Limited reports whether requests to a back end need a permit.
+func (r *Registry) Limited(id coordapi.BackendID) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.limited(id)
 }
 
-func (g *Registry) limited(id coordapi.BackendID) bool {
-	if s := g.starts[id]; s != nil && s.word.limited {
+func (r *Registry) limited(id coordapi.BackendID) bool {
+	if b := r.backends[id]; b != nil && b.current.limited {
 		return true
 	}
-	_, is := g.announced[id]
+	_, is := r.announced[id]
 	return is
 }
 
-// Check returns nil if something may be sent to a start with a right, else an error marked
-// ErrNoRight.
-func (g *Registry) Check(id coordapi.BackendID, r *Permit) error {
-	return g.look(id, r, r.holds)
+// Check returns nil if a request may be sent to a back end with a permit, which may be nil, else
+// an error marked ErrNoPermit.
+func (r *Registry) Check(id coordapi.BackendID, p *Permit) error {
+	return r.check(id, p, p.valid)
 }
 
-// Consume is Look just before the write: it uses the right up.
-func (g *Registry) Consume(id coordapi.BackendID, r *Permit) error {
-	err := g.look(id, r, r.spend)
-	if err == nil && r != nil && !r.free() {
-		g.PermitsUsed.Add(1)
+// Consume is Check just before the write: it uses the permit up.
+func (r *Registry) Consume(id coordapi.BackendID, p *Permit) error {
+	err := r.check(id, p, p.consume)
+	if err == nil && p != nil && !p.unlimited() {
+		r.PermitsUsed.Add(1)
 	}
 	return err
 }
 
-func (g *Registry) look(id coordapi.BackendID, r *Permit, holds func(time.Duration, coordapi.BackendID) bool) error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	// A right is used up also where no limit is known here: who granted it counts it.
-	if holds(g.clock(), id) {
-		g.doubt(id, r)
+func (r *Registry) check(id coordapi.BackendID, p *Permit, valid func(time.Duration, coordapi.BackendID) bool) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	// A permit is used up even if no limit is known here, since the limiter counts it.
+	if valid(r.clock(), id) {
+		r.requeueLimit(id, p)
 		return nil
 	}
-	if !g.limited(id) {
+	if !r.limited(id) {
 		return nil
 	}
-	g.SendsBlocked.Add(1)
-	return fmt.Errorf("%w, and no right is held", ErrNoPermit)
+	r.SendsBlocked.Add(1)
+	return fmt.Errorf("%w and no permit is held", ErrNoPermit)
 }
 
-// doubt tells the leader once more of a limit that has been heard here and not there: it has
-// said that the start may be sent to freely.
-func (g *Registry) doubt(id coordapi.BackendID, r *Permit) {
-	if s := g.starts[id]; r != nil && r.free() && s != nil && s.word.limited {
-		g.untold[id] = struct{}{}
+// requeueLimit reports a limit to the leader again if the leader's permit says that there is
+// none.
+func (r *Registry) requeueLimit(id coordapi.BackendID, p *Permit) {
+	if b := r.backends[id]; p != nil && p.unlimited() && b != nil && b.current.limited {
+		r.unreported[id] = struct{}{}
 	}
 }
 
-// Release notes that nothing will be sent with a right any more. One that was used, or is
-// nil, stays as it is.
-func (g *Registry) Release(r *Permit) {
-	if r == nil || r.free() || r.spent.Swap(true) {
+// Release returns a permit that will not be used. It does nothing for one that was used, or is
+// nil.
+func (r *Registry) Release(p *Permit) {
+	if p == nil || p.unlimited() || p.used.Swap(true) {
 		return
 	}
-	g.ReleaseNumbers(r.number)
+	r.ReleaseNumbers(p.number)
 }
 
-// ReleaseNumbers notes rights that nothing will be sent with, by their numbers: a placement or claim
-// may have been granted of which nothing was heard, or that a right was not used may not have
-// been heard. A nil register has none.
-func (g *Registry) ReleaseNumbers(numbers ...uint64) {
-	if g == nil {
+// ReleaseNumbers returns permits by their numbers: those whose grant may have been lost on its
+// way here, and those whose release may have been lost on its way to the leader. A nil registry
+// ignores them.
+func (r *Registry) ReleaseNumbers(numbers ...uint64) {
+	if r == nil {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.unused = append(g.unused, numbers...)
-	if over := len(g.unused) - maxUnused; over > 0 {
-		g.unused = slices.Delete(g.unused, 0, over)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.released = append(r.released, numbers...)
+	if over := len(r.released) - maxReleased; over > 0 {
+		r.released = slices.Delete(r.released, 0, over)
 	}
 }
 
-// TakeReleased returns the numbers of the rights that were not used, since the last call. A nil
-// register has none.
-func (g *Registry) TakeReleased() []uint64 {
-	if g == nil {
+// TakeReleased returns the numbers of the permits released since the last call. A nil registry
+// has none.
+func (r *Registry) TakeReleased() []uint64 {
+	if r == nil {
 		return nil
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	out := g.unused
-	g.unused = nil
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	out := r.released
+	r.released = nil
 	return out
 }
 
-// SetAnnounced takes the starts of which the leader says that they have a limit, in place of
-// those that it named before. A nil register takes none.
-func (g *Registry) SetAnnounced(ids []coordapi.BackendID) {
-	if g == nil {
+// SetAnnounced replaces the back ends that have a limit according to the leader. A nil registry
+// ignores them.
+func (r *Registry) SetAnnounced(ids []coordapi.BackendID) {
+	if r == nil {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	clear(g.announced)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	clear(r.announced)
 	for _, id := range ids {
-		g.announced[id] = struct{}{}
+		r.announced[id] = struct{}{}
 	}
 }
 
-// TakeUnreported returns the words that the leader has not been told. A nil register has none.
-func (g *Registry) TakeUnreported() []coordapi.LimitWord {
-	if g == nil {
+// TakeUnreported returns the limits that changed since the last call. A nil registry has none.
+func (r *Registry) TakeUnreported() []coordapi.LimitWord {
+	if r == nil {
 		return nil
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if len(g.untold) == 0 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.unreported) == 0 {
 		return nil
 	}
-	now := g.clock()
-	out := make([]coordapi.LimitWord, 0, len(g.untold))
-	for id := range g.untold {
-		if s := g.starts[id]; s != nil {
-			out = append(out, s.word.tell(now, id, s.pool))
+	now := r.clock()
+	out := make([]coordapi.LimitWord, 0, len(r.unreported))
+	for id := range r.unreported {
+		if b := r.backends[id]; b != nil {
+			out = append(out, b.current.report(now, id, b.pool))
 		}
 	}
-	clear(g.untold)
+	clear(r.unreported)
 	return out
 }
 
-// ReportAgain makes News return all limits that hold once more: a new leader may not know
-// them. A nil register has none.
-func (g *Registry) ReportAgain() {
-	if g == nil {
+// ReportAgain makes TakeUnreported return all limits in force once more, for a new leader. A nil
+// registry has none.
+func (r *Registry) ReportAgain() {
+	if r == nil {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for id, s := range g.starts {
-		if s.word.limited {
-			g.untold[id] = struct{}{}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for id, b := range r.backends {
+		if b.current.limited {
+			r.unreported[id] = struct{}{}
 		}
 	}
 }
 
-// Requeue makes News return words once more that no leader has taken. A nil register has
-// none.
-func (g *Registry) Requeue(words []coordapi.LimitWord) {
-	if g == nil {
+// Requeue makes TakeUnreported return reports once more that did not reach a leader. A nil
+// registry ignores them.
+func (r *Registry) Requeue(reports []coordapi.LimitWord) {
+	if r == nil {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for i := range words {
-		if _, known := g.starts[words[i].ID]; known {
-			g.untold[words[i].ID] = struct{}{}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for i := range reports {
+		if _, known := r.backends[reports[i].ID]; known {
+			r.unreported[reports[i].ID] = struct{}{}
 		}
 	}
 }
 
-// LimitedCount is how many starts may be sent to with a right only.
-func (g *Registry) LimitedCount() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	count := len(g.announced)
-	for id, s := range g.starts {
-		if _, is := g.announced[id]; !is && s.word.limited {
+// LimitedCount returns how many back ends need a permit.
+func (r *Registry) LimitedCount() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	count := len(r.announced)
+	for id, b := range r.backends {
+		if _, is := r.announced[id]; !is && b.current.limited {
 			count++
 		}
 	}
--- a/internal/ratelimit/registry_test.go
+++ b/internal/ratelimit/registry_test.go
@@ -19,7 +19,7 @@
 
 var names = vocabulary.Default()
 
-// rig is a register with a clock of its own and its log.
+// rig is a registry with a fake clock and a captured log.
 type rig struct {
 	*Registry
 	now time.Duration
@@ -33,8 +33,8 @@
 	return r
 }
 
-// answers lets a back end answer with a status and headers, by name and value, to a request
-// that was written a millisecond ago.
+// answers records a response with a status and headers, given as names and values, to a request
+// written a millisecond ago.
 func (r *rig) answers(id string, status int, headers ...string) {
 	r.now += time.Millisecond
 	header := http.Header{}
@@ -44,11 +44,11 @@
 	r.ObserveResponse(pushback.Backend{ID: coordapi.BackendID(id), Pool: "p"}, id, r.now-time.Millisecond, &http.Response{StatusCode: status, Header: header})
 }
 
-func (r *rig) right(id string, number uint64) *Permit {
+func (r *rig) permit(id string, number uint64) *Permit {
 	return NewPermit(coordapi.BackendID(id), number, r.now, PermitTTL)
 }
 
-func TestOneThatNamesALimitIsSentToWithARightOnly(t *testing.T) {
+func TestLimitedBackendNeedsPermit(t *testing.T) {
 	r := newRig()
 	assert.NilError(t, r.Consume("a", nil))
 	for _, status := range []int{200, 202, 404, 409, 429, 500, 503} {
@@ -58,31 +58,31 @@
 		assert.NilError(t, r.Check("b", nil), "another start")
 	}
 	r.answers("a", 200, names.Limit, "1")
-	right := r.right("a", 7)
-	assert.NilError(t, r.Check("a", right))
-	assert.NilError(t, r.Consume("a", right))
-	assert.ErrorIs(t, r.Consume("a", right), ErrNoPermit, "for one send")
-	assert.ErrorIs(t, r.Consume("a", r.right("b", 8)), ErrNoPermit, "of another start")
-	old := r.right("a", 9)
+	permit := r.permit("a", 7)
+	assert.NilError(t, r.Check("a", permit))
+	assert.NilError(t, r.Consume("a", permit))
+	assert.ErrorIs(t, r.Consume("a", permit), ErrNoPermit, "a permit is for one request")
+	assert.ErrorIs(t, r.Consume("a", r.permit("b", 8)), ErrNoPermit, "permit of another start")
+	old := r.permit("a", 9)
 	r.now += PermitTTL
-	assert.ErrorIs(t, r.Consume("a", old), ErrNoPermit, "too late")
+	assert.ErrorIs(t, r.Consume("a", old), ErrNoPermit, "expired")
 	r.answers("a", 200)
 	assert.NilError(t, r.Consume("a", nil))
 	assert.Equal(t, r.LimitedCount(), 0)
-	for _, line := range []string{"back end names a limit", "back end names no limit any more"} {
+	for _, line := range []string{"back end set a limit", "back end removed its limit"} {
 		assert.Equal(t, strings.Count(r.log.String(), "\""+line+"\""), 1, line)
 	}
 }
 
-// What cannot be read changes nothing that was believed, and has one line a second.
-func TestAFigureThatCannotBeReadChangesNothing(t *testing.T) {
+// An invalid limit leaves the current one in force and is logged once a second.
+func TestInvalidLimitIsIgnored(t *testing.T) {
 	for _, figure := range []string{"-1", "NaN", "Inf", "1e300", "", "  ", "1,5", "some"} {
 		r := newRig()
 		for range 100 {
 			r.answers("a", 200, names.Limit, figure)
 		}
 		assert.NilError(t, r.Check("a", nil), figure)
-		assert.Equal(t, strings.Count(r.log.String(), "limit cannot be read"), 1, figure)
+		assert.Equal(t, strings.Count(r.log.String(), "invalid limit header ignored"), 1, figure)
 		r.answers("a", 200, names.Limit, "2")
 		r.answers("a", 200, names.Limit, figure)
 		r.answers("a", 503, names.Limit, "1", names.Limit, "9")
@@ -93,18 +93,19 @@
 	}
 }
 
-// A back end may name another rate in each answer: the newest holds, and the log stays short.
-func TestRatesThatChangeWithEachAnswerFillNoLog(t *testing.T) {
+// A back end may name another rate in each response: the newest holds, and log lines are
+// bounded.
+func TestChangingRatesAreLoggedSparingly(t *testing.T) {
 	r := newRig()
 	for i := range 500 {
 		r.answers("a", 200, names.Limit, fmt.Sprintf("%d.5", 1+i%7))
 	}
 	assert.Equal(t, r.TakeUnreported()[0].Rate, 1.5+float64(499%7))
-	assert.Assert(t, strings.Count(r.log.String(), "backend=a") <= maxLines, "%s", r.log.String())
+	assert.Assert(t, strings.Count(r.log.String(), "backend=a") <= maxLogLines, "%s", r.log.String())
 }
 
-// The one that answers 421 may be another start at the address.
-func TestAnotherStartSaysNothingOfThisOnesLimit(t *testing.T) {
+// A response with status 421 may come from another start at the address.
+func TestLimitOfAnotherStartIsIgnored(t *testing.T) {
 	r := newRig()
 	r.answers("a", 421, names.Limit, "1", names.InstanceIs, "b")
 	assert.NilError(t, r.Check("a", nil))
@@ -113,19 +114,19 @@
 	assert.ErrorIs(t, r.Check("a", nil), ErrNoPermit)
 	r.answers("a", 421, names.InstanceIs, "a")
 	assert.NilError(t, r.Check("a", nil))
-	// An order's answer without a known start.
+	// The start that answered an order may be unknown.
 	r.answers("", 200, names.Limit, "1")
 	assert.NilError(t, r.Check("", nil))
 }
 
-// A right goes back at most once, and never after its use, whoever races for it.
-func TestARightIsUsedOrGoesBackOnce(t *testing.T) {
+// A permit is released at most once and never after its use, under races too.
+func TestPermitIsConsumedOrReleasedOnce(t *testing.T) {
 	r := newRig()
 	r.answers("a", 200, names.Limit, "1")
-	used := r.right("a", 1)
+	used := r.permit("a", 1)
 	assert.NilError(t, r.Consume("a", used))
 	r.Release(used)
-	unused := r.right("a", 2)
+	unused := r.permit("a", 2)
 	r.Release(unused)
 	r.Release(unused)
 	r.Release(nil)
@@ -136,48 +137,48 @@
 	assert.Equal(t, len(r.TakeReleased()), 0)
 
 	for range 200 {
-		right := r.right("a", 4)
+		permit := r.permit("a", 4)
 		var group sync.WaitGroup
 		var sent atomic.Int32
 		for range 4 {
 			group.Go(func() {
-				if r.Consume("a", right) == nil {
+				if r.Consume("a", permit) == nil {
 					sent.Add(1)
 				}
 			})
-			group.Go(func() { r.Release(right) })
+			group.Go(func() { r.Release(permit) })
 		}
 		group.Wait()
 		assert.Equal(t, int(sent.Load())+len(r.TakeReleased()), 1)
 	}
 }
 
-func TestTheLeaderIsToldOnceAndEachNewOneOfAllThatHold(t *testing.T) {
+func TestLimitsAreReportedOnceToEachLeader(t *testing.T) {
 	r := newRig()
 	r.answers("a", 200, names.Limit, "1")
 	r.answers("a", 200, names.Limit, "1")
 	r.answers("b", 200, names.Limit, "2")
 	r.answers("b", 200)
 	r.now += time.Second
-	told := map[coordapi.BackendID]coordapi.LimitWord{}
-	for _, w := range r.TakeUnreported() {
-		told[w.ID] = w
+	reported := map[coordapi.BackendID]coordapi.LimitWord{}
+	for _, report := range r.TakeUnreported() {
+		reported[report.ID] = report
 	}
-	assert.DeepEqual(t, told["a"], coordapi.LimitWord{ID: "a", Pool: "p", Limited: true, Rate: 1, Heard: time.Second + 2*time.Millisecond,
+	assert.DeepEqual(t, reported["a"], coordapi.LimitWord{ID: "a", Pool: "p", Limited: true, Rate: 1, Heard: time.Second + 2*time.Millisecond,
 		Sent: time.Second + 3*time.Millisecond})
-	assert.Assert(t, !told["b"].Limited)
+	assert.Assert(t, !reported["b"].Limited)
 	assert.Equal(t, len(r.TakeUnreported()), 0)
 	r.ReportAgain()
 	assert.Equal(t, len(r.TakeUnreported()), 1)
-	r.Requeue([]coordapi.LimitWord{told["a"], told["b"], {ID: "unknown"}})
+	r.Requeue([]coordapi.LimitWord{reported["a"], reported["b"], {ID: "unknown"}})
 	assert.Equal(t, len(r.TakeUnreported()), 2)
-	// A leader that says that there is none may only not know: it is told once more.
+	// A leader that grants an unlimited permit may have missed the report.
 	assert.NilError(t, r.Consume("a", UnlimitedPermit("a")))
 	assert.Equal(t, len(r.TakeUnreported()), 1)
 }
 
-// Who has sent nothing to a back end yet hears of its limit from the leader.
-func TestWhatIsAnnouncedNeedsARightToo(t *testing.T) {
+// A router that has had no response from a back end has its limit from the leader.
+func TestAnnouncedLimitNeedsPermit(t *testing.T) {
 	r := newRig()
 	r.SetAnnounced([]coordapi.BackendID{"a"})
 	assert.ErrorIs(t, r.Check("a", nil), ErrNoPermit)
@@ -185,18 +186,18 @@
 	r.answers("b", 200, names.Limit, "1")
 	r.SetAnnounced(nil)
 	assert.NilError(t, r.Check("a", nil))
-	assert.ErrorIs(t, r.Check("b", nil), ErrNoPermit, "it has said so itself")
+	assert.ErrorIs(t, r.Check("b", nil), ErrNoPermit, "observed here")
 }
 
-func TestWhatIsKeptOfLimitsIsBounded(t *testing.T) {
+func TestRegistryStateIsBounded(t *testing.T) {
 	r := newRig()
-	for i := range 3 * maxKept {
+	for i := range 3 * maxBackends {
 		r.answers(fmt.Sprint(i), 200, names.Limit, "1")
 	}
-	assert.Assert(t, len(r.starts) <= maxKept && len(r.starts) >= maxKept/2, "%d", len(r.starts))
-	assert.ErrorIs(t, r.Check(coordapi.BackendID(fmt.Sprint(3*maxKept-1)), nil), ErrNoPermit)
-	for i := range 3 * maxUnused {
+	assert.Assert(t, len(r.backends) <= maxBackends && len(r.backends) >= maxBackends/2, "%d", len(r.backends))
+	assert.ErrorIs(t, r.Check(coordapi.BackendID(fmt.Sprint(3*maxBackends-1)), nil), ErrNoPermit)
+	for i := range 3 * maxReleased {
 		r.ReleaseNumbers(uint64(i))
 	}
-	assert.Equal(t, len(r.TakeReleased()), maxUnused)
+	assert.Equal(t, len(r.TakeReleased()), maxReleased)
 }
