--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -7,37 +7,33 @@
 )
 
 const (
-	// heardFor is how long the announced shares hold as they are; several
-	// announcements fit into it. Then they halve in each halfTime: demand may have
-	// changed and nobody counts it over all routers.
-	heardFor = 2 * time.Second
-	halfTime = time.Second
-	// gateReturn is when a caller may come back that a router refused by itself:
-	// it is behind the next announcement.
-	gateReturn = time.Second
+	// shareTTL is how long announced shares hold, a few announcements. After that they halve
+	// with every shareHalfLife, since demand may have changed.
+	shareTTL      = 2 * time.Second
+	shareHalfLife = time.Second
+	// gateRetryAfter is when a caller refused by a gate may return, after the next announcement.
+	gateRetryAfter = time.Second
 )
 
-// Spent is an amount that a router admitted by itself, or gives back if it is
-// negative.
+// Spent is an amount that a router admitted by itself; a negative one is released.
 type Spent struct {
 	Tenant string `json:"t"`
 	Amount Amount `json:"a"`
 }
 
-// Gate is a router's side of the limits. It admits requests for which the leader
-// is not asked, with the chance that the tenant's requests had at the leader. It
-// is safe for concurrent use.
+// Gate is a router's side of the limits. It admits requests without asking the leader, with the
+// chance that the tenant's requests had at the leader. It is safe for concurrent use.
 type Gate struct {
-	mu      sync.Mutex
-	shares  map[string]float64
-	heardAt time.Duration
-	spent   map[string]Amount
+	mu          sync.Mutex
+	shares      map[string]float64
+	announcedAt time.Duration
+	spent       map[string]Amount
 }
 
 // NewGate returns a gate that admits everything until shares are announced.
 func NewGate() *Gate { return &Gate{spent: map[string]Amount{}} }
 
-// SetShares takes the shares that the leader announced.
+// SetShares replaces the shares announced by the leader.
 func (g *Gate) SetShares(now time.Duration, shares []Share) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -45,36 +41,35 @@
 	for _, s := range shares {
 		g.shares[s.Tenant] = s.Part
 	}
-	g.heardAt = now
+	g.announcedAt = now
 }
 
-// Admit admits an amount, or says after what time to come back. Draw is uniform in
-// [0, 1).
-func (g *Gate) Admit(now time.Duration, tenant string, amount Amount, draw float64) (after time.Duration, admitted bool) {
+// Admit admits an amount, or returns when to try again. Draw is uniform in [0, 1).
+func (g *Gate) Admit(now time.Duration, tenant string, amount Amount, draw float64) (retryAfter time.Duration, admitted bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	part, limited := g.shares[tenant]
 	if !limited {
 		part = 1
 	}
-	if old := now - g.heardAt - heardFor; old > 0 {
-		part *= math.Exp2(-float64(old) / float64(halfTime))
+	if expired := now - g.announcedAt - shareTTL; expired > 0 {
+		part *= math.Exp2(-float64(expired) / float64(shareHalfLife))
 	}
 	if draw >= part {
-		return gateReturn, false
+		return gateRetryAfter, false
 	}
 	g.spent[tenant] += amount
 	return 0, true
 }
 
-// Release notes that an admitted amount was not used.
+// Release returns an admitted amount that was not used.
 func (g *Gate) Release(tenant string, amount Amount) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.spent[tenant] -= amount
 }
 
-// Spent returns what was admitted here since the last call.
+// Spent returns the amounts admitted since the last call.
 func (g *Gate) Spent() []Spent {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -8,183 +8,178 @@
 	"quinceridge.example/quinceridge/internal/decay"
 )
 
-// Tolerance says how far the use within any Window may lie above what a limit
-// allows: by Overshoot of that and Slack beyond.
+// Tolerance bounds usage above a limit within any Window: Overshoot is a share of what the limit
+// allows, Slack an amount beyond that.
 type Tolerance struct {
 	Window    time.Duration
 	Overshoot float64
 	Slack     Amount
-	// LeaderChanges is how many changes of the Bank that admits are borne within a Window.
+	// LeaderChanges is the number of leader changes within a Window that keep to the tolerance.
 	LeaderChanges int
 }
 
-// parts is into how many parts the tolerance of a limit is divided. A bucket takes one of
-// them as further burst, may be overdrawn by another, and starts with one when its past is
-// not known: two for the first bank and two for each that follows it. The last is for what
-// routers admit without asking.
+// parts divides the tolerance of a limit. Each leader's limiter may use two parts, one as
+// additional burst or as the initial level and one as overdraft. The last part is for what
+// routers admit by themselves.
 func (t Tolerance) parts() Amount { return Amount(3 + 2*t.LeaderChanges) }
 
 const (
-	// shareTime is the time over which the admitted share of a tenant's demand is
-	// averaged: a few announcements of the leader.
-	shareTime = time.Second
-	// longestReturn bounds when a refused caller is told to come back.
-	longestReturn = 5 * time.Second
-	// leastReturn keeps callers from coming back before a refill shows.
-	leastReturn = 50 * time.Millisecond
+	// averagingTime is the time over which a tenant's admitted share is averaged, a few
+	// announcements of the leader.
+	averagingTime = time.Second
+	// maxRetryAfter bounds the wait of a refused caller.
+	maxRetryAfter = 5 * time.Second
+	// minRetryAfter keeps callers from returning before a refill shows.
+	minRetryAfter = 50 * time.Millisecond
 )
 
-// Limiter counts what all routers use of each tenant's limit. An amount is admitted
-// from a bucket that fills at the limit's rate up to its burst. Only one Limiter of a
-// deployment may admit at a time; a new one knows nothing of what the last one
-// admitted and starts with almost empty buckets, so that both together stay
-// within the tolerance. It is not safe for concurrent use.
+// Limiter holds a token bucket for each tenant, which fills at the rate of the tenant's limit up
+// to its burst. Only one limiter of a deployment may admit at a time. A new one starts with
+// almost empty buckets, so that it and the last one together keep to the tolerance. It is not
+// safe for concurrent use.
 type Limiter struct {
 	tolerance Tolerance
 	accounts  map[string]*account
-	// known says that limits were set before: a tenant that is new then has used
-	// nothing.
-	known bool
+	// initialized is set once there are limits. Tenants added later start with a full bucket.
+	initialized bool
 }
 
 // account is the bucket of one tenant.
 type account struct {
 	name  string
 	limit Limit
-	// level is what may be used as of at. Overdrawn it is negative.
+	// level is the amount available at the time at; negative if overdrawn.
 	level Amount
 	at    time.Duration
-	// returns is when the amounts that were refused could all have been admitted.
-	returns time.Duration
-	// asked and refused are amounts that count less over shareTime.
+	// nextRetry is when all amounts refused so far could have been admitted.
+	nextRetry time.Duration
+	// asked and refused average amounts over averagingTime.
 	asked, refused decay.Sum
 }
 
-// NewLimiter returns a bank without limits.
+// NewLimiter returns a limiter without limits.
 func NewLimiter(tolerance Tolerance) *Limiter {
 	return &Limiter{tolerance: tolerance, accounts: map[string]*account{}}
 }
 
-// SetLimits replaces the limits. What was used before counts on under a tenant's new
-// limit.
-func (b *Limiter) SetLimits(now time.Duration, limits map[string]Limit) {
-	for name, a := range b.accounts {
+// SetLimits replaces all limits. Earlier usage counts against a tenant's new limit.
+func (l *Limiter) SetLimits(now time.Duration, limits map[string]Limit) {
+	for name, a := range l.accounts {
 		if _, named := limits[name]; !named {
 			a.limit = Limit{}
 		}
 	}
 	for name, limit := range limits {
-		a := b.accounts[name]
+		a := l.accounts[name]
 		switch {
 		case a == nil:
-			a = &account{name: name, at: now, level: b.first(limit)}
-			b.accounts[name] = a
+			a = &account{name: name, at: now, level: l.initialLevel(limit)}
+			l.accounts[name] = a
 		case !a.limit.Limited():
-			a.at, a.level = now, b.capacity(limit)
+			a.at, a.level = now, l.capacity(limit)
 		default:
-			a.refill(now, b.capacity(a.limit))
+			a.refill(now, l.capacity(a.limit))
 		}
 		a.limit = limit
-		a.level = min(a.level, b.capacity(limit))
+		a.level = min(a.level, l.capacity(limit))
 	}
-	b.known = true
+	l.initialized = true
 }
 
-// SetLimit sets one limit, in place of Set for all. A new bucket is empty: what was used before
-// is not known.
-func (b *Limiter) SetLimit(now time.Duration, name string, limit Limit) {
-	a := b.accounts[name]
+// SetLimit sets a single limit, in place of SetLimits. A new bucket starts empty, since earlier
+// usage is not known.
+func (l *Limiter) SetLimit(now time.Duration, name string, limit Limit) {
+	a := l.accounts[name]
 	if a == nil {
 		a = &account{name: name, at: now}
-		b.accounts[name] = a
+		l.accounts[name] = a
 	}
-	a.refill(now, b.capacity(a.limit))
+	a.refill(now, l.capacity(a.limit))
 	a.limit = limit
-	a.level = min(a.level, b.capacity(limit))
+	a.level = min(a.level, l.capacity(limit))
 }
 
-// Forget drops a limit and what was used of it.
-func (b *Limiter) Forget(name string) { delete(b.accounts, name) }
+// Forget drops a limit and its bucket.
+func (l *Limiter) Forget(name string) { delete(l.accounts, name) }
 
-// Wait is how long it takes until there is an amount in a bucket, 0 if there is now.
-func (b *Limiter) Wait(now time.Duration, name string, amount Amount) time.Duration {
-	a := b.accounts[name]
+// Wait returns the time until a bucket holds an amount, 0 if it does now.
+func (l *Limiter) Wait(now time.Duration, name string, amount Amount) time.Duration {
+	a := l.accounts[name]
 	if a == nil || !a.limit.Limited() {
 		return 0
 	}
-	a.refill(now, b.capacity(a.limit))
+	a.refill(now, l.capacity(a.limit))
 	return time.Duration(max(float64(amount-a.level), 0) / float64(a.limit.Rate) * float64(time.Second))
 }
 
-// Capacity is how far a bucket fills.
-func (b *Limiter) Capacity(name string) Amount {
-	a := b.accounts[name]
+// Capacity returns the most that a bucket holds.
+func (l *Limiter) Capacity(name string) Amount {
+	a := l.accounts[name]
 	if a == nil {
 		return 0
 	}
-	return b.capacity(a.limit)
+	return l.capacity(a.limit)
 }
 
-// first is the level of a new tenant's bucket.
-func (b *Limiter) first(l Limit) Amount {
-	if b.known {
-		return b.capacity(l)
+// initialLevel returns the level of a new tenant's bucket.
+func (l *Limiter) initialLevel(limit Limit) Amount {
+	if l.initialized {
+		return l.capacity(limit)
 	}
-	return b.part(l)
+	return l.tolerancePart(limit)
 }
 
-// part is one part of the tolerance above a limit.
-func (b *Limiter) part(l Limit) Amount {
-	allowed := l.Rate*Amount(b.tolerance.Window.Seconds()) + l.Burst
-	return (Amount(b.tolerance.Overshoot)*allowed + b.tolerance.Slack) / b.tolerance.parts()
+// tolerancePart returns one part of the tolerance above a limit.
+func (l *Limiter) tolerancePart(limit Limit) Amount {
+	allowed := limit.Rate*Amount(l.tolerance.Window.Seconds()) + limit.Burst
+	return (Amount(l.tolerance.Overshoot)*allowed + l.tolerance.Slack) / l.tolerance.parts()
 }
 
-// capacity is how far a bucket fills.
-func (b *Limiter) capacity(l Limit) Amount { return l.Burst + b.part(l) }
+// capacity returns the most that a bucket holds.
+func (l *Limiter) capacity(limit Limit) Amount { return limit.Burst + l.tolerancePart(limit) }
 
-// Take admits an amount, or says after what time to come back. Requests of all
-// sizes up to a part of the tolerance have the same chance; a larger one needs
-// a fuller bucket, at most a full one.
-func (b *Limiter) Take(now time.Duration, tenant string, amount Amount) (after time.Duration, admitted bool) {
-	a := b.accounts[tenant]
+// Take admits an amount, or returns when to try again. Amounts up to one part of the tolerance
+// have the same chance; a larger one needs a fuller bucket, at most a full one.
+func (l *Limiter) Take(now time.Duration, tenant string, amount Amount) (retryAfter time.Duration, admitted bool) {
+	a := l.accounts[tenant]
 	if a == nil || !a.limit.Limited() {
 		return 0, true
 	}
-	capacity := b.capacity(a.limit)
+	capacity := l.capacity(a.limit)
 	a.refill(now, capacity)
-	a.asked.Add(now, shareTime, float64(amount))
-	if need := min(max(amount-b.part(a.limit), 0), capacity); a.level >= need {
+	a.asked.Add(now, averagingTime, float64(amount))
+	if need := min(max(amount-l.tolerancePart(a.limit), 0), capacity); a.level >= need {
 		a.level -= amount
 		return 0, true
 	}
-	a.refused.Add(now, shareTime, float64(amount))
-	return a.postpone(now, amount), false
+	a.refused.Add(now, averagingTime, float64(amount))
+	return a.retryAfter(now, amount), false
 }
 
-// Charge notes an amount that was admitted elsewhere. A negative one gives back
-// what was admitted and not used.
-func (b *Limiter) Charge(now time.Duration, tenant string, amount Amount) {
-	a := b.accounts[tenant]
+// Charge counts an amount that was admitted elsewhere. A negative one returns an admitted amount
+// that was not used.
+func (l *Limiter) Charge(now time.Duration, tenant string, amount Amount) {
+	a := l.accounts[tenant]
 	if a == nil || !a.limit.Limited() {
 		return
 	}
-	capacity := b.capacity(a.limit)
+	capacity := l.capacity(a.limit)
 	a.refill(now, capacity)
-	a.asked.Add(now, shareTime, float64(max(amount, 0)))
+	a.asked.Add(now, averagingTime, float64(max(amount, 0)))
 	a.level = min(a.level-amount, capacity)
 }
 
-// Share is the part of a tenant's demand that was admitted lately.
+// Share is the part of a tenant's recent demand that was admitted.
 type Share struct {
 	Tenant string  `json:"t"`
 	Part   float64 `json:"p"`
 }
 
-// Shares returns the tenants whose demand is above their limit, by name.
-func (b *Limiter) Shares(now time.Duration) []Share {
+// Shares returns the tenants whose demand is above their limit, sorted by name.
+func (l *Limiter) Shares(now time.Duration) []Share {
 	var out []Share
-	for _, a := range b.accounts {
-		asked, refused := a.asked.Value(now, shareTime), a.refused.Value(now, shareTime)
+	for _, a := range l.accounts {
+		asked, refused := a.asked.Value(now, averagingTime), a.refused.Value(now, averagingTime)
 		if refused < 1 || asked <= 0 {
 			continue
 		}
@@ -194,7 +189,7 @@
 	return out
 }
 
-// Usage is a limit and what was made of it lately.
+// Usage is a limit and its recent usage.
 type Usage struct {
 	Name string
 	Limit
@@ -202,31 +197,31 @@
 	Asked, Refused Amount
 }
 
-// Usage returns all limits, by name.
-func (b *Limiter) Usage(now time.Duration) []Usage {
+// Usage returns all limits, sorted by name.
+func (l *Limiter) Usage(now time.Duration) []Usage {
 	var out []Usage
-	for _, a := range b.accounts {
+	for _, a := range l.accounts {
 		if a.limit.Limited() {
-			out = append(out, Usage{a.name, a.limit, Amount(a.asked.Value(now, shareTime) / shareTime.Seconds()), Amount(a.refused.Value(now, shareTime) / shareTime.Seconds())})
+			out = append(out, Usage{a.name, a.limit, Amount(a.asked.Value(now, averagingTime) / averagingTime.Seconds()), Amount(a.refused.Value(now, averagingTime) / averagingTime.Seconds())})
 		}
 	}
 	slices.SortFunc(out, func(x, y Usage) int { return strings.Compare(x.Name, y.Name) })
 	return out
 }
 
-// refill adds what the rate has allowed since the last time.
+// refill adds what the rate allows since the last refill.
 func (a *account) refill(now time.Duration, capacity Amount) {
 	a.level = min(a.level+a.limit.Rate*Amount((now-a.at).Seconds()), capacity)
 	a.at = now
 }
 
-// postpone returns when a refused caller may come back: behind those that were
-// refused before it, each after the time in which the rate allows its amount.
-func (a *account) postpone(now time.Duration, amount Amount) time.Duration {
+// retryAfter returns the wait of a refused caller. Refused callers are spaced by the time that
+// the rate takes to allow their amounts.
+func (a *account) retryAfter(now time.Duration, amount Amount) time.Duration {
 	wait := func(amount Amount) time.Duration {
-		return time.Duration(min(float64(amount/a.limit.Rate), longestReturn.Seconds()) * float64(time.Second))
+		return time.Duration(min(float64(amount/a.limit.Rate), maxRetryAfter.Seconds()) * float64(time.Second))
 	}
 	first := now + wait(max(-a.level, 0))
-	a.returns = min(max(a.returns, first)+wait(amount), now+longestReturn)
-	return max(a.returns-now, leastReturn)
+	a.nextRetry = min(max(a.nextRetry, first)+wait(amount), now+maxRetryAfter)
+	return max(a.nextRetry-now, minRetryAfter)
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -19,8 +19,8 @@
 	amount Amount
 }
 
-// mostWithin is the most that was admitted within any window.
-func mostWithin(uses []use, window time.Duration) Amount {
+// maxInWindow returns the largest amount admitted within any window.
+func maxInWindow(uses []use, window time.Duration) Amount {
 	var most, sum Amount
 	first := 0
 	for _, u := range uses {
@@ -34,72 +34,72 @@
 	return most
 }
 
-// Whatever is asked, in whatever sizes, no window holds more than the limit with
-// its tolerance, over two changes of the leader too, whose successors know nothing.
-func TestNoWindowHoldsMoreThanTheLimit(t *testing.T) {
+// No window exceeds the limit and its tolerance, whatever the demand and over two changes of the
+// leader that lose all state.
+func TestLimiterBoundsUsageInAnyWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{Rate: Amount(rapid.Float64Range(1000, 600_000).Draw(t, "rate")), Burst: Amount(rapid.Float64Range(0, 600_000).Draw(t, "burst"))}
 		largest := rapid.Float64Range(2000, 60_000).Draw(t, "largest")
 		demand := rapid.Float64Range(0.5, 20).Draw(t, "demand")
 		changes := rapid.SliceOfN(rapid.IntRange(0, 20_000), 2, 2).Draw(t, "changes")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		bank := NewLimiter(tolerance)
-		bank.SetLimits(0, map[string]Limit{"a": limit})
+		limiter := NewLimiter(tolerance)
+		limiter.SetLimits(0, map[string]Limit{"a": limit})
 		var uses []use
 		for now := time.Duration(0); now < 24*time.Second; {
 			now += time.Duration(random.ExpFloat64() * largest / 2 / (demand * float64(limit.Rate)) * float64(time.Second))
 			for i, at := range changes {
 				if at >= 0 && now >= time.Duration(at)*time.Millisecond {
 					changes[i] = -1
-					bank = NewLimiter(tolerance)
-					bank.SetLimits(now, map[string]Limit{"a": limit})
+					limiter = NewLimiter(tolerance)
+					limiter.SetLimits(now, map[string]Limit{"a": limit})
 				}
 			}
 			amount := Amount(random.Float64() * largest)
-			if _, admitted := bank.Take(now, "a", amount); admitted {
+			if _, admitted := limiter.Take(now, "a", amount); admitted {
 				uses = append(uses, use{now, amount})
 			}
 		}
 		allowed := (limit.Rate*8+limit.Burst)*1.1 + tolerance.Slack
-		if most := mostWithin(uses, tolerance.Window); most > allowed {
+		if most := maxInWindow(uses, tolerance.Window); most > allowed {
 			t.Fatalf("%.0f within a window, allowed %.0f", most, allowed)
 		}
 	})
 }
 
-// play asks for amounts at a mean rate, and returns what part was admitted of the
-// small and of the large ones.
-func play(bank *Limiter, random *rand.Rand, from, until time.Duration, rate Amount) (small, large float64) {
+// simulate asks for amounts at a mean rate, and returns the admitted shares of small and large
+// ones.
+func simulate(limiter *Limiter, random *rand.Rand, from, until time.Duration, rate Amount) (small, large float64) {
 	var asked, got [2]int
 	for now := from; now < until; {
 		now += time.Duration(random.ExpFloat64() * 5000 / float64(rate) * float64(time.Second))
 		kind := random.IntN(2)
 		amount := Amount(1000 + 8000*kind)
 		asked[kind]++
-		if _, admitted := bank.Take(now, "a", amount); admitted {
+		if _, admitted := limiter.Take(now, "a", amount); admitted {
 			got[kind]++
 		}
 	}
 	return float64(got[0]) / float64(asked[0]), float64(got[1]) / float64(asked[1])
 }
 
-// At 0.8 of its rate a tenant with a second's burst loses nothing, whatever the
-// order of its requests; nearer to it chance alone takes it beyond its burst.
-func TestNothingIsRefusedBelowTheLimit(t *testing.T) {
-	bank := NewLimiter(tolerance)
-	bank.SetLimits(0, map[string]Limit{"a": {Rate: 100_000, Burst: 100_000}})
-	small, large := play(bank, rand.New(rand.NewPCG(1, 1)), 2*time.Second, 2000*time.Second, 80_000)
+// At 0.8 of its rate a tenant with a second's burst is never refused. Nearer to the rate, random
+// arrivals alone exceed the burst.
+func TestNoRefusalBelowLimit(t *testing.T) {
+	limiter := NewLimiter(tolerance)
+	limiter.SetLimits(0, map[string]Limit{"a": {Rate: 100_000, Burst: 100_000}})
+	small, large := simulate(limiter, rand.New(rand.NewPCG(1, 1)), 2*time.Second, 2000*time.Second, 80_000)
 	assert.Assert(t, small > 0.999 && large > 0.999, "%v %v", small, large)
 }
 
-// A tenant gets at least what a bucket of its very limit would admit in sum.
-func TestATenantGetsWhatItsLimitAllows(t *testing.T) {
+// A tenant gets at least what a token bucket without tolerance admits.
+func TestTenantGetsFullLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{Rate: 100_000, Burst: Amount(rapid.Float64Range(10_000, 300_000).Draw(t, "burst"))}
 		demand := rapid.Float64Range(0.5, 3).Draw(t, "demand")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		bank := NewLimiter(tolerance)
-		bank.SetLimits(-10*time.Second, map[string]Limit{"a": limit})
+		limiter := NewLimiter(tolerance)
+		limiter.SetLimits(-10*time.Second, map[string]Limit{"a": limit})
 		level, at := limit.Burst, time.Duration(0)
 		var exact, got Amount
 		for now := time.Duration(0); now < 30*time.Second; {
@@ -110,7 +110,7 @@
 				level -= amount
 				exact += amount
 			}
-			if _, admitted := bank.Take(now, "a", amount); admitted {
+			if _, admitted := limiter.Take(now, "a", amount); admitted {
 				got += amount
 			}
 		}
@@ -120,70 +120,68 @@
 	})
 }
 
-func TestBeyondTheLimitAllSizesHaveTheSameChance(t *testing.T) {
-	bank := NewLimiter(tolerance)
-	bank.SetLimits(0, map[string]Limit{"a": {Rate: 100_000, Burst: 100_000}})
-	small, large := play(bank, rand.New(rand.NewPCG(1, 2)), 0, 200*time.Second, 200_000)
+func TestSizesHaveSameChanceAboveLimit(t *testing.T) {
+	limiter := NewLimiter(tolerance)
+	limiter.SetLimits(0, map[string]Limit{"a": {Rate: 100_000, Burst: 100_000}})
+	small, large := simulate(limiter, rand.New(rand.NewPCG(1, 2)), 0, 200*time.Second, 200_000)
 	assert.Assert(t, small > 0.48 && small < 0.52, "%v", small)
 	assert.Assert(t, large > 0.48 && large < 0.52, "%v", large)
 }
 
-func TestALimitThatIsLoweredOrRaisedHoldsAtOnce(t *testing.T) {
-	bank := NewLimiter(tolerance)
+func TestChangedLimitHoldsAtOnce(t *testing.T) {
+	limiter := NewLimiter(tolerance)
 	random := rand.New(rand.NewPCG(1, 3))
-	bank.SetLimits(0, map[string]Limit{"a": {Rate: 200_000, Burst: 200_000}, "b": {Rate: 1}})
-	play(bank, random, 0, 10*time.Second, 100_000)
-	bank.SetLimits(10*time.Second, map[string]Limit{"a": {Rate: 20_000, Burst: 20_000}})
-	small, large := play(bank, random, 12*time.Second, 100*time.Second, 100_000)
+	limiter.SetLimits(0, map[string]Limit{"a": {Rate: 200_000, Burst: 200_000}, "b": {Rate: 1}})
+	simulate(limiter, random, 0, 10*time.Second, 100_000)
+	limiter.SetLimits(10*time.Second, map[string]Limit{"a": {Rate: 20_000, Burst: 20_000}})
+	small, large := simulate(limiter, random, 12*time.Second, 100*time.Second, 100_000)
 	assert.Assert(t, small < 0.23 && large < 0.23, "%v %v", small, large)
-	bank.SetLimits(100*time.Second, map[string]Limit{"a": {Rate: 200_000, Burst: 200_000}})
-	small, large = play(bank, random, 100*time.Second+300*time.Millisecond, 110*time.Second, 100_000)
+	limiter.SetLimits(100*time.Second, map[string]Limit{"a": {Rate: 200_000, Burst: 200_000}})
+	small, large = simulate(limiter, random, 100*time.Second+300*time.Millisecond, 110*time.Second, 100_000)
 	assert.Assert(t, small == 1 && large == 1, "%v %v", small, large)
-	_, admitted := bank.Take(110*time.Second, "b", 1e9)
+	_, admitted := limiter.Take(110*time.Second, "b", 1e9)
 	assert.Assert(t, admitted, "a tenant without a limit")
 }
 
-// A tenant whose whole bucket is smaller than one request is served all the same.
-func TestARequestLargerThanTheBurstIsAdmittedByAFullBucket(t *testing.T) {
-	bank := NewLimiter(Tolerance{Window: time.Second})
-	bank.SetLimits(0, map[string]Limit{"a": {Rate: 100, Burst: 100}})
-	after, admitted := bank.Take(0, "a", 1000)
+// A request larger than the whole bucket is still served.
+func TestFullBucketAdmitsRequestLargerThanBurst(t *testing.T) {
+	limiter := NewLimiter(Tolerance{Window: time.Second})
+	limiter.SetLimits(0, map[string]Limit{"a": {Rate: 100, Burst: 100}})
+	after, admitted := limiter.Take(0, "a", 1000)
 	assert.Assert(t, !admitted && after > 0)
-	_, admitted = bank.Take(2*time.Second, "a", 1000)
+	_, admitted = limiter.Take(2*time.Second, "a", 1000)
 	assert.Assert(t, admitted)
-	_, admitted = bank.Take(3*time.Second, "a", 1000)
+	_, admitted = limiter.Take(3*time.Second, "a", 1000)
 	assert.Assert(t, !admitted)
 }
 
-// Those who are refused are told to come back one behind the other, as the rate
-// allows, so that they are not refused again together.
-func TestThoseWhoAreRefusedComeBackInOrder(t *testing.T) {
-	bank := NewLimiter(Tolerance{Window: time.Second})
-	bank.SetLimits(0, map[string]Limit{"a": {Rate: 1000, Burst: 500}})
-	bank.Charge(time.Second, "a", 500)
+// Refused callers are spaced at the rate, so that they are not refused together again.
+func TestTakeSpacesRefusedCallers(t *testing.T) {
+	limiter := NewLimiter(Tolerance{Window: time.Second})
+	limiter.SetLimits(0, map[string]Limit{"a": {Rate: 1000, Burst: 500}})
+	limiter.Charge(time.Second, "a", 500)
 	for i := range 4 {
-		after, admitted := bank.Take(time.Second, "a", 100)
+		after, admitted := limiter.Take(time.Second, "a", 100)
 		assert.Assert(t, !admitted)
 		assert.Equal(t, after, time.Duration(i+1)*100*time.Millisecond)
 	}
 }
 
-func TestWhatIsGivenBackCanBeUsed(t *testing.T) {
-	bank := NewLimiter(Tolerance{Window: time.Second})
-	bank.SetLimits(0, nil)
-	bank.SetLimits(0, map[string]Limit{"a": {Rate: 1, Burst: 100}})
-	_, admitted := bank.Take(0, "a", 100)
+func TestReleasedAmountCanBeUsed(t *testing.T) {
+	limiter := NewLimiter(Tolerance{Window: time.Second})
+	limiter.SetLimits(0, nil)
+	limiter.SetLimits(0, map[string]Limit{"a": {Rate: 1, Burst: 100}})
+	_, admitted := limiter.Take(0, "a", 100)
 	assert.Assert(t, admitted)
-	_, admitted = bank.Take(0, "a", 100)
+	_, admitted = limiter.Take(0, "a", 100)
 	assert.Assert(t, !admitted)
-	bank.Charge(0, "a", -100)
-	_, admitted = bank.Take(0, "a", 100)
+	limiter.Charge(0, "a", -100)
+	_, admitted = limiter.Take(0, "a", 100)
 	assert.Assert(t, admitted)
 }
 
-// What routers admit by themselves follows the leader's word, and less and less of
-// it while there is none.
-func TestAGateAdmitsTheShareThatTheLeaderAnnounced(t *testing.T) {
+// A gate admits by the announced shares, and less and less once announcements stop.
+func TestGateAdmitsAnnouncedShare(t *testing.T) {
 	gate := NewGate()
 	admitted := func(now time.Duration) (n int) {
 		for i := range 100 {
@@ -194,8 +192,8 @@
 		return n
 	}
 	gate.SetShares(0, []Share{{Tenant: "a", Part: 0.4}})
-	assert.Equal(t, admitted(heardFor), 40)
-	assert.Equal(t, admitted(heardFor+halfTime), 20)
+	assert.Equal(t, admitted(shareTTL), 40)
+	assert.Equal(t, admitted(shareTTL+shareHalfLife), 20)
 	gate.Release("a", 20)
 	assert.DeepEqual(t, gate.Spent(), []Spent{{Tenant: "a", Amount: 100}})
 	assert.Equal(t, len(gate.Spent()), 0)
@@ -203,59 +201,59 @@
 	assert.Equal(t, admitted(3*time.Second), 100)
 }
 
-func TestOnlyTenantsBeyondTheirLimitAreAnnounced(t *testing.T) {
-	bank := NewLimiter(Tolerance{Window: time.Second})
-	bank.SetLimits(0, nil)
-	bank.SetLimits(0, map[string]Limit{"a": {Rate: 100, Burst: 300}, "b": {Rate: 100, Burst: 1000}})
-	bank.Charge(time.Second, "a", 1000)
-	bank.Take(time.Second, "a", 300)
-	bank.Take(time.Second, "b", 300)
-	shares := bank.Shares(time.Second)
+func TestOnlyTenantsAboveLimitAreAnnounced(t *testing.T) {
+	limiter := NewLimiter(Tolerance{Window: time.Second})
+	limiter.SetLimits(0, nil)
+	limiter.SetLimits(0, map[string]Limit{"a": {Rate: 100, Burst: 300}, "b": {Rate: 100, Burst: 1000}})
+	limiter.Charge(time.Second, "a", 1000)
+	limiter.Take(time.Second, "a", 300)
+	limiter.Take(time.Second, "b", 300)
+	shares := limiter.Shares(time.Second)
 	assert.Equal(t, len(shares), 1)
 	assert.Equal(t, shares[0].Tenant, "a")
 	assert.Assert(t, shares[0].Part > 0.7 && shares[0].Part < 0.8, "%v", shares[0].Part)
-	assert.Equal(t, len(bank.Shares(time.Minute)), 0)
+	assert.Equal(t, len(limiter.Shares(time.Minute)), 0)
 }
 
 func ExampleLimiter() {
-	bank := NewLimiter(Tolerance{Window: time.Second})
-	bank.SetLimits(0, map[string]Limit{"shop": {Rate: 1000, Burst: 500}})
-	_, admitted := bank.Take(time.Second, "shop", 500)
+	limiter := NewLimiter(Tolerance{Window: time.Second})
+	limiter.SetLimits(0, map[string]Limit{"shop": {Rate: 1000, Burst: 500}})
+	_, admitted := limiter.Take(time.Second, "shop", 500)
 	fmt.Println(admitted)
-	after, admitted := bank.Take(time.Second, "shop", 500)
+	after, admitted := limiter.Take(time.Second, "shop", 500)
 	fmt.Println(after, admitted)
 	// Output:
 	// true
 	// 500ms false
 }
 
-// BenchmarkTake is one decision of the leader among many tenants.
+// BenchmarkTake measures one decision among many tenants.
 func BenchmarkTake(b *testing.B) {
-	bank := NewLimiter(tolerance)
+	limiter := NewLimiter(tolerance)
 	limits := map[string]Limit{}
 	for i := range 1000 {
 		limits[fmt.Sprint("t", i)] = Limit{Rate: 1e6, Burst: 1e6}
 	}
-	bank.SetLimits(0, limits)
+	limiter.SetLimits(0, limits)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		bank.Take(time.Duration(i)*time.Millisecond, "t7", 9000)
+		limiter.Take(time.Duration(i)*time.Millisecond, "t7", 9000)
 	}
 }
 
-// greedy is what a tenant gets within a window that takes all that it can at each moment,
-// from a full bucket and over changes of the leader.
+// greedy returns what a tenant gets within a window that takes all it can at each moment, from a
+// full bucket and over changes of the leader.
 func greedy(limit Limit, changes ...time.Duration) (sum, part Amount) {
-	bank := NewLimiter(tolerance)
-	bank.SetLimits(-100*time.Second, map[string]Limit{"a": limit})
-	part = bank.part(limit)
+	limiter := NewLimiter(tolerance)
+	limiter.SetLimits(-100*time.Second, map[string]Limit{"a": limit})
+	part = limiter.tolerancePart(limit)
 	for now := time.Duration(0); now < tolerance.Window; now += 10 * time.Millisecond {
 		if slices.Contains(changes, now) {
-			bank = NewLimiter(tolerance)
-			bank.SetLimits(now, map[string]Limit{"a": limit})
+			limiter = NewLimiter(tolerance)
+			limiter.SetLimits(now, map[string]Limit{"a": limit})
 		}
 		for {
-			if _, admitted := bank.Take(now, "a", part); !admitted {
+			if _, admitted := limiter.Take(now, "a", part); !admitted {
 				break
 			}
 			sum += part
@@ -264,10 +262,9 @@
 	return sum, part
 }
 
-// Two changes of the leader within one window, whenever they come, beside what routers admit
-// without asking, which has a part of the tolerance. With fifths of it as parts, which cover
-// one change, the tenant got up to 1,120,000 beside 40,000 of 1,100,000.
-func TestTwoChangesOfTheLeaderWithinAWindowAreBorne(t *testing.T) {
+// Two changes of the leader at any times within a window keep to the tolerance, along with the
+// part for what routers admit by themselves.
+func TestTwoLeaderChangesInWindowKeepTolerance(t *testing.T) {
 	limit := Limit{Rate: 100_000, Burst: 100_000}
 	allowed := (limit.Rate*8+limit.Burst)*Amount(1+tolerance.Overshoot) + tolerance.Slack
 	var most, part Amount
--- a/internal/quota/retries.go
+++ b/internal/quota/retries.go
@@ -3,32 +3,31 @@
 import "time"
 
 const (
-	// lentPart is the part of the common burst of repeats that is lent; the rest is for what
-	// arrives in another window than it was granted in.
-	lentPart = 0.9
-	// depthParts is into how many parts that is divided: one is the depth of the bucket, the
-	// other comes back within the window.
-	depthParts = 2
+	// lentShare is the share of the common burst that is lent. The rest covers retries that are
+	// sent in a later window than they were granted in.
+	lentShare = 0.9
+	// burstParts divides the lent share: one part is the capacity of the bucket, the other is
+	// refilled within a window.
+	burstParts = 2
 )
 
-// SharedRetries lends the common burst of repeats to the routers that need it, wherever a back end
-// has failed: divided evenly, most of it lies unused beside a crash that some routers met.
-// Within any window it lends lentPart of the burst at most. A new leader's is empty and fills
-// as the last one's would have, so that both together keep to that too. It is not safe for
-// concurrent use.
-type SharedRetries struct{ bank *Limiter }
+// SharedRetries lends retries of the burst that all routers share to those that need them. An
+// even split would leave most of the burst unused when only a few routers see a back end fail.
+// It lends at most lentShare of the burst within any window. That of a new leader starts empty,
+// so that both leaders together keep to the bound. It is not safe for concurrent use.
+type SharedRetries struct{ limiter *Limiter }
 
-// NewSharedRetries returns one that has lent everything.
-func NewSharedRetries() *SharedRetries { return &SharedRetries{bank: NewLimiter(Tolerance{})} }
+// NewSharedRetries returns one with nothing left to lend.
+func NewSharedRetries() *SharedRetries { return &SharedRetries{limiter: NewLimiter(Tolerance{})} }
 
-// Take lends one repeat of a pool, whose burst holds within any window. Share is the part of
-// the routers that borrow; the others use their even part without asking.
+// Take lends one retry of a pool, whose burst holds within any window. Share is the share of the
+// routers that borrow; the others use their even part without asking.
 func (r *SharedRetries) Take(now time.Duration, pool string, burst float64, window time.Duration, share float64) bool {
 	if burst <= 0 || window <= 0 {
 		return false
 	}
-	part := Amount(lentPart * burst * share / depthParts)
-	r.bank.SetLimit(now, pool, Limit{Rate: part / Amount(window.Seconds()), Burst: max(part, 1)})
-	_, granted := r.bank.Take(now, pool, 1)
+	part := Amount(lentShare * burst * share / burstParts)
+	r.limiter.SetLimit(now, pool, Limit{Rate: part / Amount(window.Seconds()), Burst: max(part, 1)})
+	_, granted := r.limiter.Take(now, pool, 1)
 	return granted
 }
--- a/internal/quota/retries_test.go
+++ b/internal/quota/retries_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// However many ask, over changes of the leader, no window holds more than the common burst.
-func TestNoWindowLendsMoreThanTheCommonBurst(t *testing.T) {
+// No window exceeds the common burst, whatever the demand and over changes of the leader.
+func TestSharedRetriesBoundBurstInAnyWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
 		burst := rapid.Float64Range(3, 2000).Draw(t, "burst")
@@ -31,13 +31,13 @@
 				uses = append(uses, use{now, 1})
 			}
 		}
-		if most := mostWithin(uses, window); float64(most) > burst {
+		if most := maxInWindow(uses, window); float64(most) > burst {
 			t.Fatalf("%.0f within a window, allowed %.1f", most, burst)
 		}
 	})
 }
 
-func TestTheCommonBurstIsLentToWhoeverNeedsIt(t *testing.T) {
+func TestSharedRetriesLendBurst(t *testing.T) {
 	r := NewSharedRetries()
 	lent := 0
 	take := func(from, until time.Duration, share float64) (n int) {
