--- a/internal/bounded/bounded_test.go
+++ b/internal/bounded/bounded_test.go
@@ -8,17 +8,17 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestLinesAreBoundedWithinASecond(t *testing.T) {
+func TestLineLimiterBoundsLinesWithinSecond(t *testing.T) {
 	var l LineLimiter
-	allowed := func(now time.Duration, most int) (n int) {
+	allowed := func(now time.Duration, limit int) (n int) {
 		for range 10 {
-			if l.Allow(now, most) {
+			if l.Allow(now, limit) {
 				n++
 			}
 		}
 		return n
 	}
-	// A clock may begin anywhere: the second counts from the first line.
+	// The clock may begin anywhere: the second counts from the first line.
 	assert.Equal(t, allowed(900*time.Millisecond, 1), 1)
 	assert.Equal(t, allowed(1899*time.Millisecond, 1), 0)
 	assert.Equal(t, allowed(1900*time.Millisecond, 4), 4)
--- a/internal/bounded/oldest.go
+++ b/internal/bounded/oldest.go
@@ -1,5 +1,5 @@
-// Package bounded keeps what grows with the words of other processes within bounds: log
-// lines, and what is remembered by name.
+// Package bounded bounds what other processes can make grow: log lines, and maps with entries by
+// name.
 package bounded
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// DropOldest removes a number of entries from a map, those with the earliest times.
+// DropOldest removes the count entries with the earliest times from a map.
 func DropOldest[K comparable, V any](entries map[K]V, count int, at func(V) time.Duration) {
 	byAge := slices.SortedFunc(maps.Keys(entries), func(a, b K) int { return cmp.Compare(at(entries[a]), at(entries[b])) })
 	for _, key := range byAge[:min(count, len(byAge))] {
