--- a/internal/flowcontrol/flowcontrol.go
+++ b/internal/flowcontrol/flowcontrol.go
@@ -1,9 +1,8 @@
-// Package flowcontrol decides early whether a request is taken. A request whose
-// first token is expected too late is refused at once, with the time after
-// which a repeat has a chance; work of lower classes and of tenants above their
-// share is refused first.
+// Package flowcontrol decides early whether to admit a request. A request whose first token is
+// expected too late is refused at once, with the time after which a retry has a chance. Work of
+// lower classes and of tenants above their share is refused first.
 //
-// The package is pure: the router process and the simulator both run it.
+// The package does no I/O; the router process and the simulator both run it.
 package flowcontrol
 
 import (
@@ -11,42 +10,42 @@
 	"time"
 )
 
-// Shares of a class's FirstToken that work may be expected to wait.
+// Shares of a class's FirstToken that a request may be expected to wait.
 const (
-	// topShare belongs to priority 100, bottomShare to priority 0.
+	// topShare applies to priority 100, bottomShare to priority 0.
 	topShare    = 1.0
 	bottomShare = 0.5
-	// leastShare is what is left to a tenant far above its share.
-	leastShare = 0.25
-	// pressure is the share of the limit below which fairness does not matter.
-	pressure = 0.3
+	// minTenantShare is what is left to a tenant far above its share.
+	minTenantShare = 0.25
+	// fairnessThreshold is the share of the limit below which tenants' shares do not matter.
+	fairnessThreshold = 0.3
 )
 
 // Bounds of Retry-After.
 const (
-	shortestRetry = time.Second
-	longestRetry  = 30 * time.Second
+	minRetryAfter = time.Second
+	maxRetryAfter = 30 * time.Second
 )
 
 const (
 	highestPriority = 100
-	// usageHalfLife is how fast a tenant's use is forgotten.
+	// usageHalfLife is the half-life of a tenant's usage.
 	usageHalfLife = 10 * time.Second
 )
 
-// Request is what admission needs to know.
+// Request describes a request to the controller.
 type Request struct {
 	Tenant string
-	// Weight is the tenant's share, raised by events.
+	// Weight is the tenant's weight, raised by events.
 	Weight float64
-	// Priority is the class's, 0 to 100.
+	// Priority is that of the class, 0 to 100.
 	Priority int
-	// FirstToken is the longest useful wait for the first token, of the
-	// request's class and of those above it.
+	// FirstToken is the longest useful wait for the first token, of the request's class and of
+	// those above it.
 	FirstToken time.Duration
-	// Expected is the wait for the first token at the chosen endpoint.
+	// Expected is the expected wait for the first token at the chosen endpoint.
 	Expected time.Duration
-	// Cost is the work that the request brings, in tokens.
+	// Cost is the work of the request, in tokens.
 	Cost int
 }
 
@@ -59,7 +58,7 @@
 	Reason string
 }
 
-// Reasons of refusals.
+// Reasons for refusals.
 const (
 	ReasonDeadline = "deadline"
 	ReasonFairness = "fairness"
@@ -74,10 +73,10 @@
 // Controller admits requests. It is not safe for concurrent use.
 type Controller struct {
 	tenants map[string]*usage
-	swept   time.Duration
+	sweptAt time.Duration
 }
 
-// New returns a controller that has seen nothing.
+// New returns a controller without any usage.
 func New() *Controller { return &Controller{tenants: map[string]*usage{}} }
 
 // Admit decides on a request and, when it is admitted, counts its cost.
@@ -87,7 +86,7 @@
 	if expected > limit {
 		return refuse(expected-limit, ReasonDeadline)
 	}
-	if expected > limit*pressure {
+	if expected > limit*fairnessThreshold {
 		allowed := limit * c.tenantShare(now, r)
 		if expected > allowed {
 			return refuse(expected-allowed, ReasonFairness)
@@ -101,15 +100,15 @@
 	return bottomShare + (topShare-bottomShare)*float64(min(priority, highestPriority))/highestPriority
 }
 
-// refuse tells the caller to come back when the excess wait has drained: the
-// queue shortens by a second each second once no more is taken.
+// refuse returns a verdict to retry once the excess wait has drained. The queue shortens by a
+// second each second while nothing is admitted.
 func refuse(excess float64, reason string) Verdict {
 	wait := time.Duration(math.Ceil(excess/float64(time.Second))) * time.Second
-	return Verdict{RetryAfter: min(max(wait, shortestRetry), longestRetry), Reason: reason}
+	return Verdict{RetryAfter: min(max(wait, minRetryAfter), maxRetryAfter), Reason: reason}
 }
 
-// tenantShare is how much of the limit is left to a tenant: all of it up to
-// its fair share, then less.
+// tenantShare returns the share of the limit that is left to a tenant: all of it up to its fair
+// share, then less.
 func (c *Controller) tenantShare(now time.Duration, r Request) float64 {
 	total, weights := 0.0, 0.0
 	for _, u := range c.tenants {
@@ -120,11 +119,11 @@
 	if !active || total == 0 || weights == 0 {
 		return 1
 	}
-	over := own.decayed(now)/total/(r.Weight/weights) - 1
-	if over <= 0 {
+	excess := own.decayed(now)/total/(r.Weight/weights) - 1
+	if excess <= 0 {
 		return 1
 	}
-	return max(leastShare, 1-over/2)
+	return max(minTenantShare, 1-excess/2)
 }
 
 func (u *usage) decayed(now time.Duration) float64 {
@@ -142,12 +141,12 @@
 	c.sweep(now)
 }
 
-// sweep forgets tenants that have been idle for long.
+// sweep drops tenants that have been idle for long.
 func (c *Controller) sweep(now time.Duration) {
-	if now-c.swept < usageHalfLife {
+	if now-c.sweptAt < usageHalfLife {
 		return
 	}
-	c.swept = now
+	c.sweptAt = now
 	for name, u := range c.tenants {
 		if now-u.at > 6*usageHalfLife {
 			delete(c.tenants, name)
