--- a/internal/follower/evidence.go
+++ b/internal/follower/evidence.go
@@ -11,49 +11,48 @@
 )
 
 const (
-	// unsureKept is how long a new leader is told of an attempt whose back end still
-	// listened, or was not known to have ended: one that was not there then can't tell any
-	// more whether the back end lived on. Of all others it is told as long as they count.
-	unsureKept = 30 * time.Second
-	// maxEvidence bounds how many it remembers, about 150 B each. The oldest go.
+	// unsureRetention is how long attempts whose back end still listened, or is not known to
+	// have ended, are reported to a new leader. A leader that did not observe the back end then
+	// cannot determine whether it survived. All others are reported for poison.EvidenceTime.
+	unsureRetention = 30 * time.Second
+	// maxEvidence bounds the attempts kept. The oldest are dropped.
 	maxEvidence = 1024
-	// maxAnswered bounds the answered suspects between two words to the leader.
+	// maxAnswered bounds the answered suspects between two reports.
 	maxAnswered = 64
 )
 
-// evidence is a router's side of finding out which requests end back ends: what it
-// saw, until each leader has been told, and what the coordinators say. It is safe for
-// concurrent use.
+// evidence is a router's side of detecting poison requests: the attempts it has seen, until each
+// leader has them, and the findings of the coordinators. It is safe for concurrent use.
 type evidence struct {
-	// blocked and suspects are what the coordinators said last.
+	// blocked and suspects are the latest from the coordinators.
 	blocked  atomic.Pointer[map[poison.Digest]state.BlockedRequest]
 	suspects atomic.Pointer[map[poison.Digest]struct{}]
-	// urgent wakes who tells the leader.
-	urgent chan struct{}
-
-	mu       sync.Mutex
-	seen     []sighting
-	answered map[poison.Digest]struct{}
-	// leader names the leadership that is followed.
-	leader string
+	// reportNow wakes RunReports.
+	reportNow chan struct{}
+
+	mu        sync.Mutex
+	sightings []sighting
+	answered  map[poison.Digest]struct{}
+	// leadership is the one that is followed.
+	leadership string
 }
 
-// sighting is an attempt that ended, with the leadership that was told of it.
+// sighting is an attempt that ended, with the leadership it was reported to.
 type sighting struct {
 	poison.Ending
-	at   time.Duration
-	told string
+	at         time.Duration
+	reportedTo string
 }
 
 func (e *evidence) init() {
-	e.urgent = make(chan struct{}, 1)
+	e.reportNow = make(chan struct{}, 1)
 	e.answered = map[poison.Digest]struct{}{}
 	e.blocked.Store(&map[poison.Digest]state.BlockedRequest{})
 	e.suspects.Store(&map[poison.Digest]struct{}{})
 }
 
-// block takes the blocked requests that the coordinators named.
-func (e *evidence) block(list *coordapi.Blocked) {
+// setBlocked replaces the blocked requests.
+func (e *evidence) setBlocked(list *coordapi.Blocked) {
 	blocked := make(map[poison.Digest]state.BlockedRequest, len(list.Requests))
 	for _, r := range list.Requests {
 		blocked[r.Request] = r
@@ -61,8 +60,8 @@
 	e.blocked.Store(&blocked)
 }
 
-// hear takes which leadership is followed and whom it suspects.
-func (e *evidence) hear(token coordapi.LeaderToken, suspects []poison.Digest) {
+// follow sets the leadership that is followed and its suspects.
+func (e *evidence) follow(token coordapi.LeaderToken, suspects []poison.Digest) {
 	named := make(map[poison.Digest]struct{}, len(suspects))
 	for _, d := range suspects {
 		named[d] = struct{}{}
@@ -71,33 +70,33 @@
 	leadership := token.Leadership()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leader = leadership
-	if len(e.seen) > 0 && e.seen[len(e.seen)-1].told != leadership {
+	e.leadership = leadership
+	if len(e.sightings) > 0 && e.sightings[len(e.sightings)-1].reportedTo != leadership {
 		e.wake()
 	}
 }
 
-// saw notes an attempt that ended. The leader is told without delay: the request may
-// be sent again within a tenth of a second.
-func (e *evidence) saw(now time.Duration, ended poison.Ending) {
+// add records an attempt that ended, and has it reported at once: the request may be sent again
+// within a tenth of a second.
+func (e *evidence) add(now time.Duration, ended poison.Ending) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.seen) >= maxEvidence {
-		e.seen = append(e.seen[:0], e.seen[maxEvidence/4:]...)
+	if len(e.sightings) >= maxEvidence {
+		e.sightings = append(e.sightings[:0], e.sightings[maxEvidence/4:]...)
 	}
-	e.seen = append(e.seen, sighting{Ending: ended, at: now})
+	e.sightings = append(e.sightings, sighting{Ending: ended, at: now})
 	e.wake()
 }
 
 func (e *evidence) wake() {
 	select {
-	case e.urgent <- struct{}{}:
+	case e.reportNow <- struct{}{}:
 	default:
 	}
 }
 
-// clear notes that a request got a whole answer, if it is suspected.
-func (e *evidence) clear(d poison.Digest) {
+// addAnswered records that a request got a complete answer, if it is a suspect.
+func (e *evidence) addAnswered(d poison.Digest) {
 	if _, suspected := (*e.suspects.Load())[d]; !suspected {
 		return
 	}
@@ -109,20 +108,20 @@
 	e.wake()
 }
 
-// take adds what the leadership that is followed has not been told of.
+// take adds what has not been reported to the current leadership.
 func (e *evidence) take(now time.Duration, reports *coordapi.Reports) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for len(e.seen) > 0 && now-e.seen[0].at > poison.EvidenceTime {
-		e.seen = e.seen[1:]
+	for len(e.sightings) > 0 && now-e.sightings[0].at > poison.EvidenceTime {
+		e.sightings = e.sightings[1:]
 	}
-	for i := range e.seen {
-		s := &e.seen[i]
-		if s.told == e.leader {
+	for i := range e.sightings {
+		s := &e.sightings[i]
+		if s.reportedTo == e.leadership {
 			continue
 		}
-		s.told = e.leader
-		if !s.Down && now-s.at > unsureKept {
+		s.reportedTo = e.leadership
+		if !s.Down && now-s.at > unsureRetention {
 			continue
 		}
 		ended := s.Ending
@@ -135,14 +134,14 @@
 	clear(e.answered)
 }
 
-// lost notes that reports did not arrive: they are told again.
-func (e *evidence) lost(reports *coordapi.Reports) {
+// requeue has reports sent again that did not arrive.
+func (e *evidence) requeue(reports *coordapi.Reports) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, ended := range reports.Endings {
-		for i := range e.seen {
-			if s := &e.seen[i]; s.Backend == ended.Backend && s.Request == ended.Request {
-				s.told = ""
+		for i := range e.sightings {
+			if s := &e.sightings[i]; s.Backend == ended.Backend && s.Request == ended.Request {
+				s.reportedTo = ""
 			}
 		}
 	}
@@ -151,14 +150,14 @@
 	}
 }
 
-// Blocked tells whether a request is kept from back ends, and since which evidence.
+// Blocked reports whether a request is blocked, and by which evidence.
 func (f *Follower) Blocked(d poison.Digest) (state.BlockedRequest, bool) {
 	blocked, is := (*f.evidence.blocked.Load())[d]
 	return blocked, is
 }
 
-// Saw notes an attempt that ended without a whole answer.
-func (f *Follower) Saw(ended poison.Ending) { f.evidence.saw(f.now(), ended) }
+// Saw records an attempt that ended without a complete answer.
+func (f *Follower) Saw(ended poison.Ending) { f.evidence.add(f.now(), ended) }
 
-// Answered notes that a request got a whole answer.
-func (f *Follower) Answered(d poison.Digest) { f.evidence.clear(d) }
+// Answered records that a request got a complete answer.
+func (f *Follower) Answered(d poison.Digest) { f.evidence.addAnswered(d) }
--- a/internal/follower/evidence_test.go
+++ b/internal/follower/evidence_test.go
@@ -18,50 +18,50 @@
 	return e
 }
 
-func (e *evidence) told(now time.Duration) []poison.Ending {
+func (e *evidence) takeEndings(now time.Duration) []poison.Ending {
 	var reports coordapi.Reports
 	e.take(now, &reports)
 	return reports.Endings
 }
 
-// What one leader was told is told again to the next, with its age then. A word that
-// was lost is told again to the same.
-func TestEachLeaderIsToldOfTheAttemptsThatEnded(t *testing.T) {
+// Attempts are reported once to each leader, with their age at the time, and again if the report
+// was lost.
+func TestEndingsAreReportedToEachLeader(t *testing.T) {
 	e := newEvidence()
-	e.saw(time.Second, poison.Ending{Backend: "a", Request: 7, Down: true})
-	assert.Equal(t, len(e.told(time.Second)), 0, "nobody is followed yet")
-	e.hear("first-1", nil)
-	assert.DeepEqual(t, e.told(2*time.Second), []poison.Ending{{Backend: "a", Request: 7, Down: true, Age: time.Second}})
-	e.hear("first-2", nil)
-	assert.Equal(t, len(e.told(3*time.Second)), 0)
-	e.lost(&coordapi.Reports{Endings: []poison.Ending{{Backend: "a", Request: 7}}})
-	assert.Equal(t, len(e.told(3*time.Second)), 1)
-	e.hear("second-1", nil)
-	assert.DeepEqual(t, e.told(5*time.Second), []poison.Ending{{Backend: "a", Request: 7, Down: true, Age: 4 * time.Second}})
-	e.hear("third-1", nil)
-	assert.Equal(t, len(e.told(2*time.Second+poison.EvidenceTime)), 0, "it is too old")
+	e.add(time.Second, poison.Ending{Backend: "a", Request: 7, Down: true})
+	assert.Equal(t, len(e.takeEndings(time.Second)), 0, "no leader yet")
+	e.follow("first-1", nil)
+	assert.DeepEqual(t, e.takeEndings(2*time.Second), []poison.Ending{{Backend: "a", Request: 7, Down: true, Age: time.Second}})
+	e.follow("first-2", nil)
+	assert.Equal(t, len(e.takeEndings(3*time.Second)), 0)
+	e.requeue(&coordapi.Reports{Endings: []poison.Ending{{Backend: "a", Request: 7}}})
+	assert.Equal(t, len(e.takeEndings(3*time.Second)), 1)
+	e.follow("second-1", nil)
+	assert.DeepEqual(t, e.takeEndings(5*time.Second), []poison.Ending{{Backend: "a", Request: 7, Down: true, Age: 4 * time.Second}})
+	e.follow("third-1", nil)
+	assert.Equal(t, len(e.takeEndings(2*time.Second+poison.EvidenceTime)), 0, "expired")
 }
 
-// A later leader can't tell whether a back end lived on that still listened.
-func TestUnsureEvidenceIsNotToldAgainForLong(t *testing.T) {
+// A later leader cannot determine whether a back end survived that still listened.
+func TestUnsureEvidenceExpires(t *testing.T) {
 	e := newEvidence()
-	e.hear("first-1", nil)
-	e.saw(time.Second, poison.Ending{Backend: "a", Request: 7})
-	assert.Equal(t, len(e.told(time.Second)), 1)
-	e.hear("second-1", nil)
-	assert.Equal(t, len(e.told(2*time.Second+unsureKept)), 0)
+	e.follow("first-1", nil)
+	e.add(time.Second, poison.Ending{Backend: "a", Request: 7})
+	assert.Equal(t, len(e.takeEndings(time.Second)), 1)
+	e.follow("second-1", nil)
+	assert.Equal(t, len(e.takeEndings(2*time.Second+unsureRetention)), 0)
 }
 
-func TestAnsweredSuspectsAreTold(t *testing.T) {
+func TestAnsweredSuspectsAreReported(t *testing.T) {
 	e := newEvidence()
-	e.hear("first-1", []poison.Digest{7})
-	e.clear(8)
-	e.clear(7)
-	e.clear(7)
+	e.follow("first-1", []poison.Digest{7})
+	e.addAnswered(8)
+	e.addAnswered(7)
+	e.addAnswered(7)
 	var reports coordapi.Reports
 	e.take(0, &reports)
 	assert.DeepEqual(t, reports.Answered, []poison.Digest{7})
-	e.lost(&reports)
+	e.requeue(&reports)
 	reports = coordapi.Reports{}
 	e.take(0, &reports)
 	assert.DeepEqual(t, reports.Answered, []poison.Digest{7})
@@ -69,33 +69,33 @@
 
 func TestEvidenceIsBounded(t *testing.T) {
 	e := newEvidence()
-	e.hear("first-1", nil)
+	e.follow("first-1", nil)
 	for i := range 5 * maxEvidence {
-		e.saw(time.Duration(i), poison.Ending{Backend: fmt.Sprint(i), Request: 7})
+		e.add(time.Duration(i), poison.Ending{Backend: fmt.Sprint(i), Request: 7})
 	}
-	told := e.told(time.Second)
-	assert.Assert(t, len(told) <= maxEvidence)
-	assert.Equal(t, told[len(told)-1].Backend, fmt.Sprint(5*maxEvidence-1))
+	endings := e.takeEndings(time.Second)
+	assert.Assert(t, len(endings) <= maxEvidence)
+	assert.Equal(t, endings[len(endings)-1].Backend, fmt.Sprint(5*maxEvidence-1))
 }
 
-func TestAFollowerTakesTheBlockedRequests(t *testing.T) {
-	s := newScript(t)
+func TestFollowerAppliesBlockedRequests(t *testing.T) {
+	s := newFakeLeader(t)
 	reply := view(3)
 	reply.View.Blocked = &coordapi.Blocked{Requests: []state.BlockedRequest{{Request: 7, Revision: 2}}}
-	s.say(reply)
+	s.setReply(reply)
 	f := follow(t, time.Minute, s.address)
 	f.await(t, 3)
 	blocked, is := f.Blocked(7)
 	assert.Assert(t, is)
 	assert.Equal(t, blocked.Revision, uint64(2))
-	// A view without news of them changes nothing; an empty list does.
-	s.say(view(4))
+	// A view without blocked requests changes nothing; an empty list clears them.
+	s.setReply(view(4))
 	f.await(t, 4)
 	_, is = f.Blocked(7)
 	assert.Assert(t, is)
 	reply = view(5)
 	reply.View.Blocked = &coordapi.Blocked{}
-	s.say(reply)
+	s.setReply(reply)
 	f.await(t, 5)
 	_, is = f.Blocked(7)
 	assert.Assert(t, !is)
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -1,6 +1,5 @@
-// Package follower is a router's side of the agreement with the coordinators:
-// it watches the leader, keeps the newest configuration and the back ends, and
-// says by what right the router serves.
+// Package follower is a router's connection to the coordinators: it watches the leader, keeps
+// the latest configuration and back ends, and holds the lease by which the router serves.
 package follower
 
 import (
@@ -24,55 +23,52 @@
 )
 
 const (
-	// watchWait is how long the leader may hold a watch. Each answer renews the
-	// router's right.
-	watchWait = 900 * time.Millisecond
-	// watchTimeout is when a watch is given up and another coordinator asked.
-	watchTimeout = watchWait + 500*time.Millisecond
-	// findTimeout is how long a coordinator has to say who leads: one that was
-	// lost says nothing, and another may know.
+	// watchHold is how long the leader may hold a watch. Each reply renews the router's lease.
+	watchHold = 900 * time.Millisecond
+	// watchTimeout bounds a watch. After it another coordinator is asked.
+	watchTimeout = watchHold + 500*time.Millisecond
+	// findTimeout bounds the search for the leader at one coordinator, which may be down.
 	findTimeout = 250 * time.Millisecond
-	// wholeTimeout bounds the first watch of a leader: all routers of a large
-	// deployment may ask for everything at once.
-	wholeTimeout = 4 * time.Second
-	// tellTimeout bounds the word of a router's load.
-	tellTimeout = 500 * time.Millisecond
-	retryPause  = 60 * time.Millisecond
-	// preparation is about how long the coordinators of a few hundred back ends take to
-	// agree again after all machines were lost, and preparationStep what each back
-	// end adds to it: replicas are read, routers get their first views. With 10,000 of
-	// them the last routers served 2.0 s after the machines were back.
-	preparation     = 1200 * time.Millisecond
-	preparationStep = 80 * time.Microsecond
+	// firstWatchTimeout bounds the first watch of a leader, when all routers of a large
+	// deployment may request everything at once.
+	firstWatchTimeout = 4 * time.Second
+	// reportTimeout bounds the sending of a report.
+	reportTimeout = 500 * time.Millisecond
+	retryDelay    = 60 * time.Millisecond
+	// preparation estimates how long the coordinators of a few hundred back ends take to recover
+	// after a loss of all machines, and preparationPerBackend what each back end adds: replicas
+	// are read and routers get their first views.
+	preparation           = 1200 * time.Millisecond
+	preparationPerBackend = 80 * time.Microsecond
 )
 
-// Decode reads a configuration's document.
+// Decode decodes a configuration document.
 type Decode func(document []byte) (*traffic.Table, error)
 
-// Pool takes what the coordinators say of back ends.
+// Pool receives the coordinators' state of back ends.
 type Pool interface {
 	// Apply changes rows and removes departed back ends; whole replaces all.
 	Apply(rows []state.Backend, departed []string, whole bool)
-	// Narrow drops the engines outside a shard: nothing more is heard of them.
+	// Narrow drops the engines outside a shard, which get no more updates.
 	Narrow(shard coordapi.Shard)
-	// Note takes what only the leader knows.
+	// Note takes the state that only the leader holds.
 	Note(notes coordapi.Notes)
-	// SetTotalLoads takes the work of all routers together, as it was age ago in the mean;
-	// engines says that it is of engines too.
+	// SetTotalLoads sets the work of all routers together, with its mean age; engines is set if
+	// it includes that of engines.
 	SetTotalLoads(now time.Duration, loads []coordapi.Load, age time.Duration, engines bool)
-	// OwnLoads returns the work of this router that is under way. What it returned
-	// last counts as part of what SetTotalLoads brings.
+	// OwnLoads returns the work of this router in progress. SetTotalLoads includes what it last
+	// returned.
 	OwnLoads() []coordapi.Load
-	// Troubles returns what attempts at engines have shown since the last call.
+	// Troubles returns the failures observed at engines since the last call.
 	Troubles() []coordapi.Trouble
-	// Refused returns how many requests were refused since the last call because
-	// all engines of their pool were behind.
+	// Refused returns how many requests were refused since the last call because all engines of
+	// their pool were behind.
 	Refused() int
 }
 
-// Saved is a router's knowledge of the prompt parts that the store holds.
+// Saved tracks the prompt parts that the store holds.
 type Saved interface {
-	// Learn takes parts that other routers have saved.
+	// Learn adds parts that other routers have saved.
 	Learn(parts []uint64)
 	// Fresh returns the parts that this router has saved since the last call.
 	Fresh() []uint64
@@ -80,45 +76,46 @@
 
 // Quota is a router's side of the tenants' limits.
 type Quota interface {
-	// SetShares takes the tenants whose demand is above their limit.
+	// SetShares replaces the admitted shares of the tenants whose demand is above their limit.
 	SetShares(now time.Duration, shares []quota.Share)
-	// Spent returns what this router has admitted by itself since the last call.
+	// Spent returns the amounts that this router has admitted by itself since the last call.
 	Spent() []quota.Spent
 }
 
-// Follower watches the coordinators. Table and Fresh are safe for concurrent
-// use.
+// Follower watches the coordinators. Its exported methods are safe for concurrent use, except
+// that Run and RunReports must each run once.
 type Follower struct {
 	config  Config
 	name    string
 	table   atomic.Pointer[traffic.Table]
 	routers atomic.Int64
-	// backends is how many back ends a coordinator knew of that was asked for the leader.
+	// backends is the number of back ends that the last coordinator asked for the leader
+	// returned.
 	backends atomic.Int64
-	// rightUntil is the end of the right to serve, by the process's clock.
-	rightUntil atomic.Int64
+	// leaseUntil is the end of the lease to serve, by the process's clock.
+	leaseUntil atomic.Int64
 	seeds      atomic.Pointer[[]string]
 	following  atomic.Pointer[string]
 	started    time.Duration
-	// clock is clock.Now but in tests.
+	// clock is clock.Now except in tests.
 	clock      func() time.Duration
 	placements placements
 	evidence   evidence
 
-	// All below belongs to Run.
-	since uint64
-	saved uint64
-	// announced is the leader's last announcement that was taken.
+	// The fields below are used by Run only.
+	revision   uint64
+	savedUntil uint64
+	// announced is the number of the leader's last announcement applied.
 	announced uint64
 	token     coordapi.LeaderToken
-	// shards is into how many the engines were divided in the last view.
-	shards  int
-	leader  string
-	members []string
-	next    int
+	// shards is the number of shards of engines in the last view.
+	shards        int
+	leader        string
+	members       []string
+	nextCandidate int
 }
 
-// Config says what a Follower works with.
+// Config configures a Follower.
 type Config struct {
 	Name   string
 	Zone   string
@@ -130,40 +127,40 @@
 	Saved Saved
 	// Quota may be nil.
 	Quota Quota
-	// Pushbacks is what back ends want from this router; nil for nothing.
+	// Pushbacks holds the pushback of back ends; nil for none.
 	Pushbacks *pushback.Register
-	// Limits is what back ends take from all routers together; nil for no limits.
+	// Limits holds the limits of back ends; nil for none.
 	Limits *ratelimit.Registry
 	Peers  *peer.Client
 	Logger *slog.Logger
 }
 
-// New returns a follower that knows nothing. Its name is new at each start.
+// New returns a follower without a leader. Its name is unique to each start.
 func New(config Config) *Follower {
 	name := config.Name + "/" + strconv.FormatUint(rand.Uint64(), 36)
-	f := &Follower{config: config, name: name, clock: clock.Now, started: clock.Now(), next: rand.IntN(max(len(config.Seeds), 1))}
+	f := &Follower{config: config, name: name, clock: clock.Now, started: clock.Now(), nextCandidate: rand.IntN(max(len(config.Seeds), 1))}
 	f.SetSeeds(config.Seeds)
 	f.evidence.init()
 	return f
 }
 
-// SetSeeds replaces the coordinators that are asked when no other is known.
+// SetSeeds replaces the coordinators that are asked when no member is known.
 func (f *Follower) SetSeeds(seeds []string) { f.seeds.Store(&seeds) }
 
-// Table returns the configuration to serve by, nil before the first.
+// Table returns the configuration in force, nil before the first.
 func (f *Follower) Table() *traffic.Table { return f.table.Load() }
 
 // now is the time since the process started.
 func (f *Follower) now() time.Duration { return f.clock() - f.started }
 
-// Fresh tells whether the router may serve now: a coordinator vouched for its
-// configuration within the right's time.
-func (f *Follower) Fresh() bool { return int64(f.now()) < f.rightUntil.Load() }
+// Fresh reports whether the router may serve now: its lease, renewed with each view of the
+// leader, has not ended.
+func (f *Follower) Fresh() bool { return int64(f.now()) < f.leaseUntil.Load() }
 
-// Routers is how many routers follow the coordinators, at least 1.
+// Routers returns how many routers follow the coordinators, at least 1.
 func (f *Follower) Routers() int { return max(int(f.routers.Load()), 1) }
 
-// Run watches until the context ends.
+// Run watches the leader until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if f.watch(ctx) {
@@ -171,13 +168,13 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryPause):
+		case <-time.After(retryDelay):
 		}
 	}
 }
 
-// find asks a coordinator who leads. It returns false when another one should
-// be asked after a pause.
+// find asks a coordinator for the leader. It returns false when another one should be asked
+// after a delay.
 func (f *Follower) find(ctx context.Context) bool {
 	address := f.candidate()
 	ctx, cancel := context.WithTimeout(ctx, findTimeout)
@@ -196,80 +193,79 @@
 	return f.leader != ""
 }
 
-// Preparation is about how long the coordinators take from a loss of all machines until
-// this router may serve.
+// Preparation estimates the time from a loss of all machines until this router may serve.
 func (f *Follower) Preparation() time.Duration {
-	return preparation + preparationStep*time.Duration(f.backends.Load())
+	return preparation + preparationPerBackend*time.Duration(f.backends.Load())
 }
 
-// watch makes one call to the leader. It returns false when another
-// coordinator should be asked after a pause.
+// watch makes one call to the leader. It returns false when another coordinator should be asked
+// after a delay.
 func (f *Follower) watch(ctx context.Context) bool {
 	if f.leader == "" {
 		return f.find(ctx)
 	}
-	address, wait, limit := f.leader, watchWait, watchTimeout
-	if f.since == 0 {
-		wait, limit = 0, wholeTimeout
+	address, wait, limit := f.leader, watchHold, watchTimeout
+	if f.revision == 0 {
+		wait, limit = 0, firstWatchTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	request := coordapi.Request{Watch: &coordapi.Watch{Router: f.name, Since: f.since, Leader: f.token, SavedSince: f.saved, Announced: f.announced,
+	request := coordapi.Request{Watch: &coordapi.Watch{Router: f.name, Since: f.revision, Leader: f.token, SavedSince: f.savedUntil, Announced: f.announced,
 		Shards: f.shards, Level: int(level.Current), Wait: wait}}
 	sent := f.now()
 	var reply coordapi.Reply
 	err := f.config.Peers.Call(ctx, address, coordapi.KindCall, request, &reply)
 	switch {
 	case err != nil:
-		f.lost(address, err.Error())
+		f.dropLeader(address, err.Error())
 		return false
 	case reply.NotLeader:
-		f.lost(address, "leads no more")
+		f.dropLeader(address, "not the leader any more")
 		f.leader = reply.Leader
 		return f.leader != "" && f.leader != address
 	case reply.View == nil:
-		f.lost(address, "answered without a view")
+		f.dropLeader(address, "reply without a view")
 		return false
 	}
 	if following := f.following.Load(); following == nil || *following != address {
 		f.following.Store(&address)
-		f.config.Logger.Info("leader followed", "part", "follower", "address", address)
+		f.config.Logger.Info("following leader", "part", "follower", "address", address)
 	}
-	return f.take(sent, reply.View)
+	return f.applyView(sent, reply.View)
 }
 
-func (f *Follower) lost(address, reason string) {
+func (f *Follower) dropLeader(address, reason string) {
 	f.config.Logger.Warn("leader lost", "part", "follower", "address", address, "reason", reason,
-		"right_ms", (f.rightUntil.Load()-int64(f.now()))/int64(time.Millisecond))
+		"right_ms", (f.leaseUntil.Load()-int64(f.now()))/int64(time.Millisecond))
 	f.leader = ""
 }
 
-// candidate returns the next coordinator to ask: the members, then the seeds,
-// which may be out of date.
+// candidate returns the next coordinator to ask: the members first, then the seeds, which may be
+// out of date.
 func (f *Follower) candidate() string {
-	known := append(append([]string{}, f.members...), *f.seeds.Load()...)
-	f.next++
-	return known[f.next%len(known)]
+	candidates := append(append([]string{}, f.members...), *f.seeds.Load()...)
+	f.nextCandidate++
+	return candidates[f.nextCandidate%len(candidates)]
 }
 
-// take puts a view in force. The right lasts from when the question was sent:
-// the view was made later.
-func (f *Follower) take(sent time.Duration, v *coordapi.View) bool {
+// applyView applies a view. The lease counts from when the request was sent, before the leader
+// made the view.
+func (f *Follower) applyView(sent time.Duration, v *coordapi.View) bool {
 	rows, document, blocked, whole := v.Backends, v.Document, v.Blocked, len(v.Packed) > 0
 	if whole {
 		var unpacked coordapi.Whole
-		if !f.unpack(v, "view cannot be read", v.Packed, &unpacked) {
+		if !f.unpack(v, "cannot decode view", v.Packed, &unpacked) {
 			return false
 		}
 		rows, document, blocked = unpacked.Backends, unpacked.Document, &unpacked.Blocked
 	}
-	if !f.unpack(v, "rows cannot be read", v.PackedBackends, &rows) ||
-		!f.unpack(v, "configuration cannot be unpacked", v.PackedDocument, &document) {
+	if !f.unpack(v, "cannot decode back ends", v.PackedBackends, &rows) ||
+		!f.unpack(v, "cannot unpack configuration", v.PackedDocument, &document) {
 		return false
 	}
-	// Before the configuration: whoever sees that one has the blocks of its view too.
+	// Before the configuration: a reader of that also has the blocked requests of its view.
 	if blocked != nil {
-		f.evidence.block(blocked)
+		f.evidence.setBlocked(blocked)
 	}
 	if !f.configure(v.Version, document) {
 		return false
@@ -290,7 +286,7 @@
 	if v.Leader != f.token {
 		f.config.Pool.Note(v.Notes)
 		f.config.Limits.SetAnnounced(v.Limited)
-		f.evidence.hear(v.Leader, v.Suspects)
+		f.evidence.follow(v.Leader, v.Suspects)
 	}
 	f.routers.Store(int64(v.Routers))
 	if f.config.Quota != nil {
@@ -299,59 +295,59 @@
 	if len(v.Saved) > 0 && f.config.Saved != nil {
 		f.config.Saved.Learn(v.Saved)
 	}
-	f.since, f.token, f.saved, f.announced = v.Revision, v.Leader, v.SavedUntil, v.Announced
+	f.revision, f.token, f.savedUntil, f.announced = v.Revision, v.Leader, v.SavedUntil, v.Announced
 	f.shards = v.Shard.Count
 	if len(v.Members) > 0 {
 		f.members = v.Members
 	}
 	if f.table.Load() != nil {
-		f.rightUntil.Store(max(f.rightUntil.Load(), int64(sent+f.config.Lease)))
+		f.leaseUntil.Store(max(f.leaseUntil.Load(), int64(sent+f.config.Lease)))
 	}
 	return true
 }
 
-// loads returns the work of all routers. A text that cannot be read counts as
-// none: loads are a hint, and the next announcement brings them again.
+// loads returns the work of all routers. If it cannot be decoded it counts as none until the
+// next announcement.
 func (f *Follower) loads(v *coordapi.View) []coordapi.Load {
 	if len(v.PackedLoads) == 0 {
 		return v.Loads
 	}
 	var loads []coordapi.Load
-	f.unpack(v, "loads cannot be read", v.PackedLoads, &loads)
+	f.unpack(v, "cannot decode loads", v.PackedLoads, &loads)
 	return loads
 }
 
-// unpack reads a part of a view, if that is packed. It says so in the log and returns
-// false when it cannot be read.
-func (f *Follower) unpack(v *coordapi.View, trouble string, packed []byte, value any) bool {
+// unpack decodes a part of a view, if it is packed. On failure it logs message and returns
+// false.
+func (f *Follower) unpack(v *coordapi.View, message string, packed []byte, value any) bool {
 	if len(packed) == 0 {
 		return true
 	}
 	err := coordapi.Unpack(packed, value)
 	if err != nil {
-		f.config.Logger.Error(trouble, "part", "follower", "version", v.Version, "error", err.Error())
+		f.config.Logger.Error(message, "part", "follower", "version", v.Version, "error", err.Error())
 	}
 	return err == nil
 }
 
-// configure puts a newer configuration in force. It returns false when the
-// router holds another one than the leader and must ask for all of it.
+// configure applies a newer configuration. It returns false when the document is missing or
+// cannot be decoded; if missing, the next watch requests the whole state.
 func (f *Follower) configure(version uint64, document json.RawMessage) bool {
-	held := f.table.Load()
-	if version == 0 || (held != nil && held.Version >= version) {
+	current := f.table.Load()
+	if version == 0 || (current != nil && current.Version >= version) {
 		return true
 	}
 	if len(document) == 0 {
-		f.since = 0
+		f.revision = 0
 		return false
 	}
 	table, err := f.config.Decode(document)
 	if err != nil {
-		f.config.Logger.Error("configuration cannot be read", "part", "follower", "version", version, "error", err.Error())
+		f.config.Logger.Error("cannot decode configuration", "part", "follower", "version", version, "error", err.Error())
 		return false
 	}
 	f.table.Store(table)
-	f.config.Logger.Info("configuration in force", "part", "follower", "version", version, "routes", len(table.Routes),
+	f.config.Logger.Info("configuration applied", "part", "follower", "version", version, "routes", len(table.Routes),
 		"tenants", len(table.Tenants), "bytes", len(document))
 	return true
 }
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -20,47 +20,47 @@
 	"quinceridge.example/quinceridge/internal/traffic"
 )
 
-// nobody takes what is said of back ends.
-type nobody struct{}
-
-func (nobody) Apply([]state.Backend, []string, bool)                             {}
-func (nobody) Refused() int                                                      { return 0 }
-func (nobody) Note(coordapi.Notes)                                               {}
-func (nobody) Narrow(coordapi.Shard)                                             {}
-func (nobody) Troubles() []coordapi.Trouble                                      { return nil }
-func (nobody) SetTotalLoads(time.Duration, []coordapi.Load, time.Duration, bool) {}
-func (nobody) OwnLoads() []coordapi.Load                                         { return nil }
-
-// script is a coordinator that answers as it is told.
-type script struct {
+// discardPool is a Pool that discards everything.
+type discardPool struct{}
+
+func (discardPool) Apply([]state.Backend, []string, bool)                             {}
+func (discardPool) Refused() int                                                      { return 0 }
+func (discardPool) Note(coordapi.Notes)                                               {}
+func (discardPool) Narrow(coordapi.Shard)                                             {}
+func (discardPool) Troubles() []coordapi.Trouble                                      { return nil }
+func (discardPool) SetTotalLoads(time.Duration, []coordapi.Load, time.Duration, bool) {}
+func (discardPool) OwnLoads() []coordapi.Load                                         { return nil }
+
+// fakeLeader is a coordinator with scripted replies.
+type fakeLeader struct {
 	mu      sync.Mutex
 	reply   coordapi.Reply
-	told    int
+	reports int
 	address string
-	// asked are the questions for an engine.
-	asked []coordapi.Place
+	// placeRequests are the placements requested.
+	placeRequests []coordapi.Place
 }
 
-func (s *script) say(r coordapi.Reply) {
+func (s *fakeLeader) setReply(r coordapi.Reply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reply = r
 }
 
-func newScript(t *testing.T) *script {
+func newFakeLeader(t *testing.T) *fakeLeader {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s := &script{address: listener.Addr().String()}
+	s := &fakeLeader{address: listener.Addr().String()}
 	server := peer.Serve(listener, &peer.Counters{}, func(_ context.Context, _ string, body json.RawMessage) (any, error) {
 		time.Sleep(5 * time.Millisecond)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		var request coordapi.Request
 		if json.Unmarshal(body, &request) == nil && request.Tell != nil {
-			s.told++
+			s.reports++
 		}
 		if request.Place != nil {
-			s.asked = append(s.asked, *request.Place)
+			s.placeRequests = append(s.placeRequests, *request.Place)
 		}
 		return s.reply, nil
 	})
@@ -77,12 +77,12 @@
 	return &traffic.Table{Version: version}, err
 }
 
-func follow(t *testing.T, right time.Duration, seeds ...string) *Follower {
-	return followWith(t, nobody{}, right, seeds...)
+func follow(t *testing.T, lease time.Duration, seeds ...string) *Follower {
+	return followWith(t, discardPool{}, lease, seeds...)
 }
 
-func followWith(t *testing.T, pool Pool, right time.Duration, seeds ...string) *Follower {
-	f := New(Config{Name: "r", Seeds: seeds, Lease: right, Decode: decode, Pool: pool, Saved: noParts{}, Peers: peer.NewClient(&peer.Counters{}),
+func followWith(t *testing.T, pool Pool, lease time.Duration, seeds ...string) *Follower {
+	f := New(Config{Name: "r", Seeds: seeds, Lease: lease, Decode: decode, Pool: pool, Saved: discardSaved{}, Peers: peer.NewClient(&peer.Counters{}),
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -107,76 +107,75 @@
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-func TestWithoutAConfigurationThereIsNoRight(t *testing.T) {
-	s := newScript(t)
-	s.say(coordapi.Reply{View: &coordapi.View{Revision: 1}})
+func TestNoLeaseWithoutConfiguration(t *testing.T) {
+	s := newFakeLeader(t)
+	s.setReply(coordapi.Reply{View: &coordapi.View{Revision: 1}})
 	f := follow(t, time.Minute, s.address)
 	time.Sleep(100 * time.Millisecond)
 	assert.Assert(t, f.Table() == nil)
 	assert.Assert(t, !f.Fresh())
-	s.say(view(3))
+	s.setReply(view(3))
 	f.await(t, 3)
-	// A view's configuration is in force before the right that it brings.
+	// A view's configuration is in force before the lease that it renews.
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if !f.Fresh() {
-			return poll.Continue("no right yet")
+			return poll.Continue("no lease yet")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(time.Millisecond))
 }
 
-func TestTheRightEndsWhenNoLeaderVouches(t *testing.T) {
-	s := newScript(t)
-	s.say(view(3))
+func TestLeaseEndsWithoutLeader(t *testing.T) {
+	s := newFakeLeader(t)
+	s.setReply(view(3))
 	f := follow(t, 150*time.Millisecond, s.address)
 	f.await(t, 3)
-	s.say(coordapi.Reply{NotLeader: true})
+	s.setReply(coordapi.Reply{NotLeader: true})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if f.Fresh() {
-			return poll.Continue("still fresh")
+			return poll.Continue("lease still valid")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(5*time.Millisecond))
 	assert.Equal(t, f.Table().Version, uint64(3))
 }
 
-func TestAnOlderConfigurationIsNeverTaken(t *testing.T) {
-	s := newScript(t)
-	s.say(view(5))
+func TestOlderConfigurationIsIgnored(t *testing.T) {
+	s := newFakeLeader(t)
+	s.setReply(view(5))
 	f := follow(t, time.Minute, s.address)
 	f.await(t, 5)
-	s.say(view(4))
+	s.setReply(view(4))
 	time.Sleep(100 * time.Millisecond)
 	assert.Equal(t, f.Table().Version, uint64(5))
-	s.say(view(6))
+	s.setReply(view(6))
 	f.await(t, 6)
 }
 
-func TestAFollowerIsSentOnToTheLeader(t *testing.T) {
-	leader, other := newScript(t), newScript(t)
-	leader.say(view(2))
-	other.say(coordapi.Reply{NotLeader: true, Leader: leader.address})
+func TestFollowerIsRedirectedToLeader(t *testing.T) {
+	leader, other := newFakeLeader(t), newFakeLeader(t)
+	leader.setReply(view(2))
+	other.setReply(coordapi.Reply{NotLeader: true, Leader: leader.address})
 	follow(t, time.Minute, other.address).await(t, 2)
 }
 
-// busy has work under way.
-type busy struct{ nobody }
+// busyPool has work in progress.
+type busyPool struct{ discardPool }
 
-func (busy) OwnLoads() []coordapi.Load { return []coordapi.Load{{ID: "x", Running: 1}} }
+func (busyPool) OwnLoads() []coordapi.Load { return []coordapi.Load{{ID: "x", Running: 1}} }
 
-// noParts saves nothing.
-type noParts struct{}
+// discardSaved is a Saved without parts.
+type discardSaved struct{}
 
-func (noParts) Learn([]uint64)  {}
-func (noParts) Fresh() []uint64 { return nil }
+func (discardSaved) Learn([]uint64)  {}
+func (discardSaved) Fresh() []uint64 { return nil }
 
-// A router that was sent on to the leader told its load to nobody: only a
-// leader that it had found by itself was noted for that.
-func TestARouterThatIsSentOnTellsTheLeader(t *testing.T) {
-	leader, other := newScript(t), newScript(t)
-	leader.say(view(2))
-	other.say(coordapi.Reply{NotLeader: true, Leader: leader.address})
-	f := followWith(t, busy{}, time.Minute, other.address)
+// A router that was redirected to the leader must report its load there too.
+func TestRedirectedRouterReportsToLeader(t *testing.T) {
+	leader, other := newFakeLeader(t), newFakeLeader(t)
+	leader.setReply(view(2))
+	other.setReply(coordapi.Reply{NotLeader: true, Leader: leader.address})
+	f := followWith(t, busyPool{}, time.Minute, other.address)
 	f.await(t, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -191,44 +190,44 @@
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		leader.mu.Lock()
 		defer leader.mu.Unlock()
-		if leader.told == 0 {
-			return poll.Continue("the leader was told nothing")
+		if leader.reports == 0 {
+			return poll.Continue("no report at the leader")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-func TestAChangeWithoutItsDocumentIsAskedForWhole(t *testing.T) {
-	s := newScript(t)
-	s.say(view(2))
+func TestMissingDocumentIsRequested(t *testing.T) {
+	s := newFakeLeader(t)
+	s.setReply(view(2))
 	f := follow(t, time.Minute, s.address)
 	f.await(t, 2)
-	s.say(coordapi.Reply{View: &coordapi.View{Revision: 9, Version: 9}})
+	s.setReply(coordapi.Reply{View: &coordapi.View{Revision: 9, Version: 9}})
 	time.Sleep(50 * time.Millisecond)
 	assert.Equal(t, f.Table().Version, uint64(2))
-	s.say(view(9))
+	s.setReply(view(9))
 	f.await(t, 9)
 }
 
-func TestPackedRowsAreTaken(t *testing.T) {
+func TestPackedRowsAreApplied(t *testing.T) {
 	packed, err := coordapi.Pack([]state.Backend{{ID: "a"}, {ID: "b"}})
 	assert.NilError(t, err)
-	pool := &rowsOf{}
-	f := New(Config{Name: "r", Decode: decode, Pool: pool, Saved: noParts{}, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	pool := &rowPool{}
+	f := New(Config{Name: "r", Decode: decode, Pool: pool, Saved: discardSaved{}, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	first := view(3).View
 	first.PackedBackends = packed
-	assert.Assert(t, f.take(0, first))
+	assert.Assert(t, f.applyView(0, first))
 	assert.DeepEqual(t, pool.ids, []string{"a", "b"})
-	assert.Assert(t, !f.take(0, &coordapi.View{Version: 3, PackedBackends: []byte("torn")}))
+	assert.Assert(t, !f.applyView(0, &coordapi.View{Version: 3, PackedBackends: []byte("torn")}))
 }
 
-// rowsOf keeps the IDs of the rows that it gets.
-type rowsOf struct {
-	nobody
+// rowPool records the IDs of its rows.
+type rowPool struct {
+	discardPool
 	ids []string
 }
 
-func (r *rowsOf) Apply(rows []state.Backend, _ []string, _ bool) {
+func (r *rowPool) Apply(rows []state.Backend, _ []string, _ bool) {
 	for _, b := range rows {
 		r.ids = append(r.ids, b.ID)
 	}
--- a/internal/follower/place.go
+++ b/internal/follower/place.go
@@ -16,24 +16,23 @@
 )
 
 const (
-	// placeTimeout is how long the leader has to choose an engine, or to grant something:
-	// some ways between zones and back. Past it the router goes on by itself.
+	// placeTimeout bounds a request to the leader that a caller waits for: a few round trips
+	// between zones. After it the router decides by itself.
 	placeTimeout = 60 * time.Millisecond
-	// placePause is how long the leader is not asked after it gave no answer.
-	placePause = 250 * time.Millisecond
+	// placeBackoff is how long the leader is not asked after it did not answer.
+	placeBackoff = 250 * time.Millisecond
 )
 
-// errNotLeader is what a reply without a placement means.
-var errNotLeader = errors.New("it does not lead")
+// errNotLeader stands for a reply without a placement.
+var errNotLeader = errors.New("node is not the leader")
 
-// placements is a router's side of the choices that the leader makes for it. It
-// is safe for concurrent use.
+// placements is a router's side of the leader's placements. It is safe for concurrent use.
 type placements struct {
 	number atomic.Uint64
-	// askAfter is when the leader may be asked again, by the process's clock.
-	askAfter atomic.Int64
-	// alone says that the last question had no answer.
-	alone atomic.Bool
+	// backoffUntil is when the leader may be asked again, by the process's clock.
+	backoffUntil atomic.Int64
+	// standalone is set while the leader does not answer.
+	standalone atomic.Bool
 
 	mu      sync.Mutex
 	reports coordapi.Reports
@@ -47,14 +46,14 @@
 	p.reports.Ended = append(p.reports.Ended, reports.Ended...)
 	p.reports.Spent = append(p.reports.Spent, reports.Spent...)
 	for _, t := range reports.Troubles {
-		// Other troubles are old when they are told again.
+		// Other troubles are out of date by the next report.
 		if t.Kind == coordapi.Draining {
 			p.reports.Troubles = append(p.reports.Troubles, t)
 		}
 	}
 }
 
-// take returns what the leader has not heard of.
+// take returns the reports added since the last call.
 func (p *placements) take() coordapi.Reports {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,59 +62,58 @@
 	return reports
 }
 
-// Place asks the leader for an engine. Answered is false when there was no answer
-// in time and the router must choose by itself; found is false when the leader
-// knows of none that may serve.
+// Place asks the leader for an engine. Answered is false when there was no answer in time and
+// the router must choose by itself; found is false when no engine may serve.
 func (f *Follower) Place(ctx context.Context, q *backends.Query) (choice backends.Choice, found, answered bool) {
-	leader := f.askable()
+	leader := f.reachableLeader()
 	if leader == nil {
 		return choice, false, false
 	}
-	ask := placer.Ask(q)
-	ask.Router, ask.Zone, ask.Number = f.name, f.config.Zone, f.placements.number.Add(1)
-	ask.Tried = append(slices.Clone(ask.Tried), f.config.Pushbacks.Barring(q.Pool)...)
-	ask.Reports = f.reports()
-	asked := clock.Now()
-	reply, err := f.ask(ctx, *leader, coordapi.Request{Place: ask})
+	request := placer.Ask(q)
+	request.Router, request.Zone, request.Number = f.name, f.config.Zone, f.placements.number.Add(1)
+	request.Tried = append(slices.Clone(request.Tried), f.config.Pushbacks.Barring(q.Pool)...)
+	request.Reports = f.takeReports()
+	requested := clock.Now()
+	reply, err := f.callLeader(ctx, *leader, coordapi.Request{Place: request})
 	if err != nil || reply.Placed == nil {
-		// It may have been placed, and the reports may not have arrived.
-		f.keep(&ask.Reports)
-		f.placements.add(coordapi.Reports{Ended: []uint64{ask.Number}})
-		f.config.Limits.ReleaseNumbers(ask.Number)
+		// The request may have been placed, and the reports may be lost.
+		f.requeue(&request.Reports)
+		f.placements.add(coordapi.Reports{Ended: []uint64{request.Number}})
+		f.config.Limits.ReleaseNumbers(request.Number)
 		if ctx.Err() != nil {
-			// The caller has left: that says nothing of the leader.
+			// The caller has left; the leader may be fine.
 			return choice, false, false
 		}
-		f.placements.askAfter.Store(int64(f.now() + placePause))
+		f.placements.backoffUntil.Store(int64(f.now() + placeBackoff))
 		if err == nil {
 			err = errNotLeader
 		}
-		if !f.placements.alone.Swap(true) {
-			f.config.Logger.Warn("leader places nothing, engines are chosen here", "part", "follower", "address", *leader, "error", err.Error())
+		if !f.placements.standalone.Swap(true) {
+			f.config.Logger.Warn("leader does not place requests; choosing engines locally", "part", "follower", "address", *leader, "error", err.Error())
 		}
 		return choice, false, false
 	}
-	if f.placements.alone.Swap(false) {
-		f.config.Logger.Info("leader places again", "part", "follower", "address", *leader)
+	if f.placements.standalone.Swap(false) {
+		f.config.Logger.Info("leader places requests again", "part", "follower", "address", *leader)
 	}
-	choice, found = placer.Choice(ask, reply.Placed)
+	choice, found = placer.Choice(request, reply.Placed)
 	if reply.Placed.Right > 0 {
-		choice.Right = ratelimit.NewPermit(coordapi.BackendID(choice.ID), ask.Number, asked, reply.Placed.Right)
+		choice.Right = ratelimit.NewPermit(coordapi.BackendID(choice.ID), request.Number, requested, reply.Placed.Right)
 	}
 	return choice, found, true
 }
 
-// ask puts a question to the leader for which a request waits.
-func (f *Follower) ask(ctx context.Context, leader string, question coordapi.Request) (reply coordapi.Reply, err error) {
+// callLeader sends a request to the leader that a caller waits for.
+func (f *Follower) callLeader(ctx context.Context, leader string, request coordapi.Request) (reply coordapi.Reply, err error) {
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	err = f.config.Peers.Call(ctx, leader, coordapi.KindCall, question, &reply)
+	err = f.config.Peers.Call(ctx, leader, coordapi.KindCall, request, &reply)
 	return reply, err
 }
 
-// reports is what the leader has not heard of yet. Troubles that are lost on the way
-// are not told again, but for what drains: they are old by then.
-func (f *Follower) reports() coordapi.Reports {
+// takeReports returns what has not been reported to the leader. Troubles are lost with a failed
+// report, except for draining, since they are out of date by then.
+func (f *Follower) takeReports() coordapi.Reports {
 	reports := f.placements.take()
 	reports.Troubles = slices.Concat(reports.Troubles, f.config.Pool.Troubles(), f.config.Pushbacks.News())
 	if f.config.Quota != nil {
@@ -126,20 +124,20 @@
 	return reports
 }
 
-// keep takes back reports that no leader has taken, for the next word.
-func (f *Follower) keep(reports *coordapi.Reports) {
+// requeue keeps reports that did not arrive for the next one.
+func (f *Follower) requeue(reports *coordapi.Reports) {
 	f.placements.add(*reports)
 	f.config.Limits.Requeue(reports.Limits)
 	f.config.Limits.ReleaseNumbers(reports.Unused...)
-	f.evidence.lost(reports)
+	f.evidence.requeue(reports)
 }
 
-// Begun notes that the first event of a placement has come, and how long it took.
+// Begun records that the first event of a placement has arrived, and after how long.
 func (f *Follower) Begun(number uint64, first time.Duration) {
 	f.placements.add(coordapi.Reports{Begun: []coordapi.Begun{{Number: number, First: first}}})
 }
 
-// Ended notes that a placement is over.
+// Ended records that a placement is over.
 func (f *Follower) Ended(number uint64) {
 	f.placements.add(coordapi.Reports{Ended: []uint64{number}})
 }
--- a/internal/follower/place_test.go
+++ b/internal/follower/place_test.go
@@ -11,51 +11,51 @@
 	"quinceridge.example/quinceridge/internal/coordapi"
 )
 
-func TestTheLeaderPlacesARequest(t *testing.T) {
-	s := newScript(t)
-	s.say(view(3))
+func TestLeaderPlacesRequest(t *testing.T) {
+	s := newFakeLeader(t)
+	s.setReply(view(3))
 	f := follow(t, time.Minute, s.address)
 	f.await(t, 3)
-	s.say(coordapi.Reply{Placed: &coordapi.Placed{ID: "e", Address: "a:1", Prompt: 7}})
+	s.setReply(coordapi.Reply{Placed: &coordapi.Placed{ID: "e", Address: "a:1", Prompt: 7}})
 	choice, found, answered := f.Place(t.Context(), &backends.Query{Pool: "llm", Work: backends.Work{Most: 9}})
 	assert.Assert(t, answered && found)
 	assert.Equal(t, choice.ID, "e")
 	assert.Equal(t, choice.Work, backends.Work{Prompt: 7, Most: 9})
 	assert.Assert(t, choice.Placement > 0)
-	s.say(coordapi.Reply{Placed: &coordapi.Placed{}})
+	s.setReply(coordapi.Reply{Placed: &coordapi.Placed{}})
 	_, found, answered = f.Place(t.Context(), &backends.Query{Pool: "llm"})
 	assert.Assert(t, answered && !found)
 }
 
-// A router without an answer chooses by itself, and does not lose time with each
-// request. What it had to report is not lost.
-func TestALeaderThatPlacesNothingIsLeftAloneForAMoment(t *testing.T) {
-	s := newScript(t)
-	s.say(view(3))
+// While the leader does not answer the router chooses by itself without waiting each time, and
+// keeps its reports.
+func TestPlaceBacksOffFromSilentLeader(t *testing.T) {
+	s := newFakeLeader(t)
+	s.setReply(view(3))
 	f := follow(t, time.Minute, s.address)
 	f.await(t, 3)
 	f.Begun(41, time.Second)
 	f.Ended(41)
-	s.say(coordapi.Reply{NotLeader: true})
+	s.setReply(coordapi.Reply{NotLeader: true})
 	_, _, answered := f.Place(t.Context(), &backends.Query{Pool: "llm"})
 	assert.Assert(t, !answered)
 	reports := f.placements.take()
 	assert.DeepEqual(t, reports.Begun, []coordapi.Begun{{Number: 41, First: time.Second}})
 	assert.DeepEqual(t, reports.Ended, []uint64{41, 1})
-	s.say(coordapi.Reply{Placed: &coordapi.Placed{ID: "e"}})
+	s.setReply(coordapi.Reply{Placed: &coordapi.Placed{ID: "e"}})
 	_, _, answered = f.Place(t.Context(), &backends.Query{Pool: "llm"})
-	assert.Assert(t, !answered, "asked again at once")
-	f.placements.askAfter.Store(0)
+	assert.Assert(t, !answered, "asked again without backoff")
+	f.placements.backoffUntil.Store(0)
 	_, _, answered = f.Place(t.Context(), &backends.Query{Pool: "llm"})
 	assert.Assert(t, answered)
 }
 
-func TestACallerThatLeavesSaysNothingOfTheLeader(t *testing.T) {
-	s := newScript(t)
-	s.say(view(3))
+func TestCanceledCallerCausesNoBackoff(t *testing.T) {
+	s := newFakeLeader(t)
+	s.setReply(view(3))
 	f := follow(t, time.Minute, s.address)
 	f.await(t, 3)
-	s.say(coordapi.Reply{Placed: &coordapi.Placed{ID: "e"}})
+	s.setReply(coordapi.Reply{Placed: &coordapi.Placed{ID: "e"}})
 	gone, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, _, answered := f.Place(gone, &backends.Query{Pool: "llm"})
@@ -64,25 +64,25 @@
 	assert.Assert(t, answered)
 }
 
-func TestWithoutALeaderNobodyIsAsked(t *testing.T) {
-	f := New(Config{Name: "r", Seeds: []string{"127.0.0.1:1"}, Pool: nobody{}})
+func TestPlaceWithoutLeader(t *testing.T) {
+	f := New(Config{Name: "r", Seeds: []string{"127.0.0.1:1"}, Pool: discardPool{}})
 	_, _, answered := f.Place(context.Background(), &backends.Query{Pool: "llm"})
 	assert.Assert(t, !answered)
 }
 
-// With 985 routers one told every 3 s: its loads counted for 1.5 s and its placements
-// for 3.
-func TestARouterTellsInTimeHoweverManyThereAre(t *testing.T) {
-	assert.Equal(t, tellPeriod(1), 53*time.Millisecond)
-	assert.Equal(t, tellPeriod(300), 950*time.Millisecond)
+// The period is bounded, else the loads and placements of a router would expire at the leader
+// between two reports.
+func TestReportPeriodIsBounded(t *testing.T) {
+	assert.Equal(t, reportPeriod(1), 53*time.Millisecond)
+	assert.Equal(t, reportPeriod(300), 950*time.Millisecond)
 	for _, routers := range []int{400, 985, 2000, 10000} {
-		assert.Equal(t, tellPeriod(routers), tellLimit)
+		assert.Equal(t, reportPeriod(routers), maxReportInterval)
 	}
 }
 
-// Callers that were refused after a loss of all machines came back before 985 routers could
-// serve, and were refused again: what control does at a start grows with the back ends.
-func TestThePreparationGrowsWithTheBackEnds(t *testing.T) {
+// Callers refused after a loss of all machines must not return before routers serve, which takes
+// longer with more back ends.
+func TestPreparationGrowsWithBackends(t *testing.T) {
 	f := New(Config{Name: "r", Seeds: []string{"127.0.0.1:1"}})
 	assert.Equal(t, f.Preparation(), 1200*time.Millisecond)
 	f.backends.Store(10000)
--- a/internal/follower/pushback_test.go
+++ b/internal/follower/pushback_test.go
@@ -15,61 +15,60 @@
 	"quinceridge.example/quinceridge/internal/vocabulary"
 )
 
-// followPushbacks is a follower of a scripted leader, without its watch, and with a
-// register in which one engine drains and one wants nothing for half a minute.
-func followPushbacks(t *testing.T, s *script) *Follower {
+// followPushbacks returns a follower of a fake leader, without its watch, with one engine that
+// drains and one that asked for no requests for 30 s.
+func followPushbacks(t *testing.T, s *fakeLeader) *Follower {
 	names, logger := vocabulary.Default(), slog.New(slog.DiscardHandler)
-	f := New(Config{Name: "r", Seeds: []string{s.address}, Lease: time.Minute, Decode: decode, Pool: nobody{}, Pushbacks: pushback.New(names, logger),
+	f := New(Config{Name: "r", Seeds: []string{s.address}, Lease: time.Minute, Decode: decode, Pool: discardPool{}, Pushbacks: pushback.New(names, logger),
 		Peers: peer.NewClient(&peer.Counters{}), Logger: logger})
 	t.Cleanup(f.config.Peers.Close)
 	f.following.Store(&s.address)
-	hear := func(id string, header http.Header) {
+	observe := func(id string, header http.Header) {
 		f.config.Pushbacks.Answered(pushback.Backend{ID: coordapi.BackendID(id), Pool: "llm"}, id, &http.Response{StatusCode: 503, Header: header})
 	}
-	hear("drains", http.Header{names.Draining: {"1"}})
-	hear("waits", http.Header{"Retry-After": {"30"}})
+	observe("drains", http.Header{names.Draining: {"1"}})
+	observe("waits", http.Header{"Retry-After": {"30"}})
 	return f
 }
 
-// A leader does not offer what the router may not take: each offer would cost a choice of
-// the router's own, which knows less.
-func TestTheLeaderIsAskedForNoEngineThatWantsNothing(t *testing.T) {
-	s := newScript(t)
+// The leader must not offer engines that the router may not use.
+func TestPlaceExcludesBarredEngines(t *testing.T) {
+	s := newFakeLeader(t)
 	f := followPushbacks(t, s)
-	s.say(coordapi.Reply{Placed: &coordapi.Placed{ID: "e"}})
+	s.setReply(coordapi.Reply{Placed: &coordapi.Placed{ID: "e"}})
 	_, _, answered := f.Place(t.Context(), &backends.Query{Pool: "llm", Tried: []string{"tried"}})
 	assert.Assert(t, answered)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ask := s.asked[len(s.asked)-1]
+	ask := s.placeRequests[len(s.placeRequests)-1]
 	assert.Equal(t, len(ask.Tried), 3)
 	assert.DeepEqual(t, ask.Troubles[len(ask.Troubles)-2:], []coordapi.Trouble{{ID: "drains", Kind: coordapi.Draining},
 		{ID: "waits", Kind: coordapi.Busy, For: 30 * time.Second}})
 }
 
-// That a back end drains is told until a leader has taken it, and to each leadership.
-func TestADrainIsToldUntilEachLeaderHasTakenIt(t *testing.T) {
-	s := newScript(t)
+// Draining is reported until a leader has accepted it, and again to each new leadership.
+func TestDrainingIsReportedUntilAccepted(t *testing.T) {
+	s := newFakeLeader(t)
 	f := followPushbacks(t, s)
-	s.say(coordapi.Reply{NotLeader: true})
+	s.setReply(coordapi.Reply{NotLeader: true})
 	_, _, answered := f.Place(t.Context(), &backends.Query{Pool: "llm"})
 	assert.Assert(t, !answered)
 	drains := []coordapi.Trouble{{ID: "drains", Kind: coordapi.Draining}}
-	assert.DeepEqual(t, f.reports().Troubles, drains)
-	assert.Equal(t, len(f.reports().Troubles), 0)
+	assert.DeepEqual(t, f.takeReports().Troubles, drains)
+	assert.Equal(t, len(f.takeReports().Troubles), 0)
 	f.config.Pushbacks.TellAgain()
-	assert.DeepEqual(t, f.reports().Troubles, drains)
+	assert.DeepEqual(t, f.takeReports().Troubles, drains)
 }
 
-func TestANewLeadershipIsToldOfAllThatDrain(t *testing.T) {
-	s := newScript(t)
+func TestDrainingIsReportedToNewLeadership(t *testing.T) {
+	s := newFakeLeader(t)
 	f := followPushbacks(t, s)
-	f.reports()
+	f.takeReports()
 	v := view(4)
 	v.View.Leader = coordapi.NewLeaderToken("another", 1)
-	assert.Assert(t, f.take(f.now(), v.View))
-	assert.Equal(t, len(f.reports().Troubles), 1)
+	assert.Assert(t, f.applyView(f.now(), v.View))
+	assert.Equal(t, len(f.takeReports().Troubles), 1)
 	v.View.Leader = coordapi.NewLeaderToken("another", 2)
-	assert.Assert(t, f.take(f.now(), v.View))
-	assert.Equal(t, len(f.reports().Troubles), 0)
+	assert.Assert(t, f.applyView(f.now(), v.View))
+	assert.Equal(t, len(f.takeReports().Troubles), 0)
 }
--- a/internal/follower/report.go
+++ b/internal/follower/report.go
@@ -7,51 +7,49 @@
 	"quinceridge.example/quinceridge/internal/coordapi"
 )
 
-// tellEvery is the time between two words to the leader, and tellStep what
-// each router of the deployment adds to it, up to tellLimit: the leader takes it that
-// first events are reported within a second, and forgets what a router has under way
-// when it hears nothing of it for some. With 985 routers and no limit a router told
-// every 3 s, and nothing that it told was in force when it told next.
+// The time between two reports is reportInterval plus reportIntervalPerRouter for each router of
+// the deployment, up to maxReportInterval. The leader relies on first events being reported
+// within about a second, and expires the work of a router without reports.
 const (
-	tellEvery = 50 * time.Millisecond
-	tellStep  = 3 * time.Millisecond
-	tellLimit = time.Second
+	reportInterval          = 50 * time.Millisecond
+	reportIntervalPerRouter = 3 * time.Millisecond
+	maxReportInterval       = time.Second
 )
 
-// tellPeriod is the time between two words of one router among many. A router that has
-// nothing to say skips its turn.
-func tellPeriod(routers int) time.Duration {
-	return min(tellEvery+tellStep*time.Duration(routers), tellLimit)
+// reportPeriod returns the time between two reports of one of many routers. A router with
+// nothing to report skips its turn.
+func reportPeriod(routers int) time.Duration {
+	return min(reportInterval+reportIntervalPerRouter*time.Duration(routers), maxReportInterval)
 }
 
-// RunReports brings the leader the router's load and newly saved prompt parts until
-// the context ends.
+// RunReports sends the leader the router's load, newly saved prompt parts and other reports
+// until the context ends.
 func (f *Follower) RunReports(ctx context.Context) {
 	idle := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(tellPeriod(f.Routers())):
-		case <-f.evidence.urgent:
+		case <-time.After(reportPeriod(f.Routers())):
+		case <-f.evidence.reportNow:
 		}
 		leader := f.following.Load()
 		if leader == nil {
 			continue
 		}
-		news := &coordapi.Tell{Router: f.name, Saved: f.config.Saved.Fresh(), Loads: f.config.Pool.OwnLoads(), Refused: f.config.Pool.Refused(),
-			Reports: f.reports()}
-		quiet := news.Empty() && len(news.Saved) == 0 && len(news.Loads) == 0 && news.Refused == 0
-		if quiet && idle {
+		report := &coordapi.Tell{Router: f.name, Saved: f.config.Saved.Fresh(), Loads: f.config.Pool.OwnLoads(), Refused: f.config.Pool.Refused(),
+			Reports: f.takeReports()}
+		empty := report.Empty() && len(report.Saved) == 0 && len(report.Loads) == 0 && report.Refused == 0
+		if empty && idle {
 			continue
 		}
-		idle = quiet
-		call, cancel := context.WithTimeout(ctx, tellTimeout)
+		idle = empty
+		call, cancel := context.WithTimeout(ctx, reportTimeout)
 		var reply coordapi.Reply
-		err := f.config.Peers.Call(call, *leader, coordapi.KindCall, coordapi.Request{Tell: news}, &reply)
+		err := f.config.Peers.Call(call, *leader, coordapi.KindCall, coordapi.Request{Tell: report}, &reply)
 		if err != nil || reply.NotLeader {
-			// Reports must arrive, all else is told anew.
-			f.keep(&news.Reports)
+			// Reports must arrive; everything else is sent anew each time.
+			f.requeue(&report.Reports)
 		}
 		cancel()
 	}
--- a/internal/follower/suspend_test.go
+++ b/internal/follower/suspend_test.go
@@ -12,22 +12,22 @@
 	"quinceridge.example/quinceridge/internal/clock"
 )
 
-// A router that was suspended for longer than its right lasts served by keys that had
-// been taken away meanwhile, until its first question was answered.
-func TestTheRightEndsDuringASuspension(t *testing.T) {
-	s := newScript(t)
-	s.say(view(3))
-	f := New(Config{Name: "r", Seeds: []string{s.address}, Lease: time.Minute, Decode: decode, Pool: nobody{}, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
-	var slept atomic.Int64
-	f.clock = func() time.Duration { return clock.Now() + time.Duration(slept.Load()) }
+// A router that was suspended beyond its lease must not serve by an outdated configuration
+// before its first watch returns.
+func TestLeaseEndsDuringSuspension(t *testing.T) {
+	s := newFakeLeader(t)
+	s.setReply(view(3))
+	f := New(Config{Name: "r", Seeds: []string{s.address}, Lease: time.Minute, Decode: decode, Pool: discardPool{}, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	var suspended atomic.Int64
+	f.clock = func() time.Duration { return clock.Now() + time.Duration(suspended.Load()) }
 	sent := f.now()
-	assert.Assert(t, f.take(sent, view(3).View))
+	assert.Assert(t, f.applyView(sent, view(3).View))
 	assert.Assert(t, f.Fresh())
-	slept.Store(int64(2 * time.Minute))
+	suspended.Store(int64(2 * time.Minute))
 	assert.Assert(t, !f.Fresh())
-	// An answer to a question from before gives no right.
-	assert.Assert(t, f.take(sent, view(4).View))
+	// A reply to a request sent before the suspension does not renew the lease.
+	assert.Assert(t, f.applyView(sent, view(4).View))
 	assert.Assert(t, !f.Fresh())
-	assert.Assert(t, f.take(f.now(), view(4).View))
+	assert.Assert(t, f.applyView(f.now(), view(4).View))
 	assert.Assert(t, f.Fresh())
 }
