--- a/internal/edge/deployment_test.go
+++ b/internal/edge/deployment_test.go
@@ -29,60 +29,60 @@
 )
 
 const (
-	testBeat = 100 * time.Millisecond
-	// poisonBody is the body that ends each engine that runs it for poisonTenant.
+	heartbeatInterval = 100 * time.Millisecond
+	// poisonBody is the body that crashes each engine that runs it for poisonTenant.
 	poisonBody   = "poison"
 	poisonTenant = "alice"
 )
 
 var names = vocabulary.Default()
 
-// deployment is a group of coordinators with routers and scripted engines, in one
-// process on loopback.
+// deployment is a group of coordinators with routers and scripted engines, in one process on
+// loopback.
 type deployment struct {
-	t       *testing.T
-	config  []settings.Coordinator
-	nodes   []*coordinator.Server
-	routers []*Edge
-	front   []string
-	asked   atomic.Int64
-	// patience is when callers leave, 0 for never.
-	patience time.Duration
+	t         *testing.T
+	config    []settings.Coordinator
+	nodes     []*coordinator.Server
+	routers   []*Edge
+	addresses []string
+	requests  atomic.Int64
+	// callerTimeout is when callers cancel, 0 for never.
+	callerTimeout time.Duration
 
 	mu sync.Mutex
-	// runs counts the starts of bodies at engines, and ended the engines that the
-	// poison request has ended.
-	runs  map[string]int
-	ended []string
-	seats []*seat
+	// runs counts how often engines have begun each body, and crashed lists the engines that the
+	// poison request has crashed.
+	runs    map[string]int
+	crashed []string
+	hosts   []*host
 }
 
-// seat is an address at which one engine runs after the other.
-type seat struct {
+// host is an address at which one engine runs at a time.
+type host struct {
 	deployment *deployment
 	pool       string
 	address    string
 	starts     int
 	server     *http.Server
 	stop       context.CancelFunc
-	// dark says that a poison request makes the engine fall silent: it keeps its
-	// connections, and answers and beats no more.
-	dark bool
-	// wait is for how long its engine wants nothing from a router that it turns away, as
-	// it does with all while it is set; the deployment's lock guards it.
-	wait time.Duration
-	// drains makes its engine say in each answer that it drains, and nothing in its
-	// heartbeats; the deployment's lock guards it.
-	drains bool
-	// limit is the rate that its engine names in each answer, empty for none; the
+	// hangs makes a poison request hang the engine instead of crashing it: it keeps its
+	// connections, and sends neither responses nor heartbeats.
+	hangs bool
+	// retryAfter makes the engine reject all requests with this Retry-After; 0 for none. The
 	// deployment's lock guards it.
+	retryAfter time.Duration
+	// draining makes the engine announce in each response, but not in its heartbeats, that it
+	// drains. The deployment's lock guards it.
+	draining bool
+	// limit is the rate that the engine names in each response, empty for none. The deployment's
+	// lock guards it.
 	limit string
-	// name is how all its engines name themselves; empty if each has a name of its own.
+	// name is shared by all engines of the host; empty if each has its own.
 	name string
-	// current is the engine that runs there.
+	// current is the running engine.
 	current *engine
-	// back is how long after its end an engine is started again.
-	back time.Duration
+	// restartDelay is the time between a crash and the next start.
+	restartDelay time.Duration
 }
 
 func newDeployment(t *testing.T, coordinators, routers, engines int) *deployment {
@@ -94,7 +94,7 @@
 	}
 	for i, peer := range peers {
 		d.config = append(d.config, settings.Coordinator{Name: fmt.Sprintf("node-%d", i), Zone: "z", PeerListen: peer, Seeds: peers, Bootstrap: true,
-			DataDirectory: t.TempDir(), BackendHeartbeat: testBeat, WeightsDeadline: 8 * time.Second, OrderLease: time.Second})
+			DataDirectory: t.TempDir(), BackendHeartbeat: heartbeatInterval, WeightsDeadline: 8 * time.Second, OrderLease: time.Second})
 		d.config[i].SetDefaults()
 		d.nodes = append(d.nodes, nil)
 		d.startNode(i)
@@ -104,17 +104,17 @@
 	}
 	d.configure()
 	for range engines {
-		d.seat("llm")
+		d.addHost("llm")
 	}
 	for range 4 {
-		d.seat("app")
+		d.addHost("app")
 	}
 	d.awaitReady()
 	t.Cleanup(d.stop)
 	return d
 }
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 func freeAddress(t *testing.T) string {
 	t.Helper()
@@ -125,13 +125,13 @@
 
 func (d *deployment) startNode(i int) {
 	d.t.Helper()
-	node, err := coordinator.New(d.config[i], coordinator.NewHTTPEngines(quiet()), traffic.Parse, quiet())
+	node, err := coordinator.New(d.config[i], coordinator.NewHTTPEngines(discardLogger()), traffic.Parse, discardLogger())
 	assert.NilError(d.t, err)
 	assert.NilError(d.t, node.Start())
 	d.nodes[i] = node
 }
 
-// restartNodes ends all coordinators at once and starts them again.
+// restartNodes stops all coordinators at once and starts them again.
 func (d *deployment) restartNodes() {
 	for _, node := range d.nodes {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -149,16 +149,16 @@
 	d.t.Helper()
 	s := settings.DisklessRouter{Name: fmt.Sprintf("router-%d", i), Zone: "z", Listen: freeAddress(d.t), Readiness: freeAddress(d.t), Seeds: seeds,
 		Revocation: 5 * time.Second, StopGrace: 2 * time.Second, RetryRatio: 0.2, RetryBurst: 50, RetryWindow: 10 * time.Second, MemoryLimit: 100}
-	e := New(s, names, traffic.Parse, quiet())
+	e := New(s, names, traffic.Parse, discardLogger())
 	assert.NilError(d.t, e.Start())
-	d.routers, d.front = append(d.routers, e), append(d.front, s.Listen)
+	d.routers, d.addresses = append(d.routers, e), append(d.addresses, s.Listen)
 }
 
 func (d *deployment) stop() {
 	d.mu.Lock()
-	for _, s := range d.seats {
-		s.stop()
-		_ = s.server.Close()
+	for _, h := range d.hosts {
+		h.stop()
+		_ = h.server.Close()
 	}
 	d.mu.Unlock()
 	for _, e := range d.routers {
@@ -181,7 +181,7 @@
 {"name":"look","host":"h","prefix":"/look/","kind":"safe","timeout":"4s","target":"500ms","split":{"app":1},"max_attempts":2}],
 "tenants":[{"name":"alice","keys":["ka"]},{"name":"bob","keys":["kb"]}]}`
 
-// node returns one coordinator after the other.
+// node returns the coordinators in turn.
 func (d *deployment) node(n int) *coordinator.Server {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -210,10 +210,10 @@
 
 func (d *deployment) awaitReady() {
 	d.t.Helper()
-	for front := range d.front {
+	for router := range d.addresses {
 		for _, path := range []string{"/chat/", "/pay/"} {
 			poll.WaitOn(d.t, func(poll.LogT) poll.Result {
-				if got := d.ask(front, "ka", path, fmt.Sprintf("warm %d", d.asked.Load())); got.status != http.StatusOK || !got.whole {
+				if got := d.send(router, "ka", path, fmt.Sprintf("warm %d", d.requests.Load())); got.status != http.StatusOK || !got.complete {
 					return poll.Continue("%+v", got)
 				}
 				return poll.Success()
@@ -222,67 +222,67 @@
 	}
 }
 
-func (d *deployment) seat(pool string) *seat {
-	s := &seat{deployment: d, pool: pool, address: freeAddress(d.t), back: 400 * time.Millisecond}
+func (d *deployment) addHost(pool string) *host {
+	h := &host{deployment: d, pool: pool, address: freeAddress(d.t), restartDelay: 400 * time.Millisecond}
 	d.mu.Lock()
-	d.seats = append(d.seats, s)
+	d.hosts = append(d.hosts, h)
 	d.mu.Unlock()
-	s.start()
-	return s
+	h.start()
+	return h
 }
 
-// start begins a new engine at the seat's address.
-func (s *seat) start() {
-	listener, err := net.Listen("tcp", s.address)
+// start starts a new engine at the host's address.
+func (h *host) start() {
+	listener, err := net.Listen("tcp", h.address)
 	if err != nil {
 		// The test is over, or the port is not free yet.
-		time.AfterFunc(testBeat, s.start)
+		time.AfterFunc(heartbeatInterval, h.start)
 		return
 	}
-	d := s.deployment
+	d := h.deployment
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s.starts++
-	id := cmp.Or(s.name, fmt.Sprintf("%s#%d", s.address, s.starts))
+	h.starts++
+	id := cmp.Or(h.name, fmt.Sprintf("%s#%d", h.address, h.starts))
 	ctx, cancel := context.WithCancel(d.t.Context())
-	e := &engine{seat: s, id: id, born: state.UnixMilli(s.starts), end: cancel, turnedAway: map[string][]time.Time{}, tooEarly: map[string]int{}, told: map[string]time.Time{}}
-	s.current = e
-	s.stop = cancel
-	s.server = &http.Server{Handler: http.HandlerFunc(e.serve)}
-	go func() { _ = s.server.Serve(listener) }()
-	go e.beat(ctx)
+	e := &engine{host: h, id: id, born: state.UnixMilli(h.starts), end: cancel, rejected: map[string][]time.Time{}, tooEarly: map[string]int{}, limitSentAt: map[string]time.Time{}}
+	h.current = e
+	h.stop = cancel
+	h.server = &http.Server{Handler: http.HandlerFunc(e.serve)}
+	go func() { _ = h.server.Serve(listener) }()
+	go e.heartbeat(ctx)
 }
 
 // engine is one start of an engine or of a plain back end.
 type engine struct {
-	seat  *seat
-	id    string
-	born  state.UnixMilli
-	end   context.CancelFunc
-	once  sync.Once
-	muted atomic.Bool
-	// turnedAway are the times at which it answered each router that it wants nothing
-	// for a while, and tooEarly what has come from a router within such a time.
-	turnedAway map[string][]time.Time
-	tooEarly   map[string]int
-	// arrived is when it was sent what it ran.
-	arrived []time.Time
-	// limited is what it was sent since it first named a limit, and told when it first
-	// answered each router with it.
-	limited []arrival
-	told    map[string]time.Time
+	host *host
+	id   string
+	born state.UnixMilli
+	end  context.CancelFunc
+	once sync.Once
+	hung atomic.Bool
+	// rejected holds the times of rejections by router, and tooEarly counts the requests of each
+	// router that came before Retry-After had passed.
+	rejected map[string][]time.Time
+	tooEarly map[string]int
+	// arrivals holds the times of the requests that were run.
+	arrivals []time.Time
+	// limitedArrivals holds the requests received under a limit, and limitSentAt when each
+	// router was first sent the limit.
+	limitedArrivals []arrival
+	limitSentAt     map[string]time.Time
 }
 
-func (e *engine) beat(ctx context.Context) {
+func (e *engine) heartbeat(ctx context.Context) {
 	for n := 1; ctx.Err() == nil; n++ {
-		row := state.Backend{ID: e.id, Born: e.born, Pool: e.seat.pool, Address: e.seat.address, Zone: "z", Slots: 8}
-		if e.seat.pool == "llm" {
+		row := state.Backend{ID: e.id, Born: e.born, Pool: e.host.pool, Address: e.host.address, Zone: "z", Slots: 8}
+		if e.host.pool == "llm" {
 			row.Weights = map[string]int{"m": 1}
 		}
-		_, _ = e.seat.deployment.node(n).Call(ctx, coordapi.Request{Beat: &coordapi.Beat{Backend: row, Sequence: coordapi.Sequence(n)}})
+		_, _ = e.host.deployment.node(n).Call(ctx, coordapi.Request{Beat: &coordapi.Beat{Backend: row, Sequence: coordapi.Sequence(n)}})
 		select {
 		case <-ctx.Done():
-		case <-time.After(testBeat):
+		case <-time.After(heartbeatInterval):
 		}
 	}
 }
@@ -298,19 +298,19 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if e.muted.Load() {
+	if e.hung.Load() {
 		<-r.Context().Done()
 		return
 	}
-	e.nameLimit(w, r)
-	if e.turnAway(w, r) {
+	e.sendLimit(w, r)
+	if e.reject(w, r) {
 		return
 	}
-	d := e.seat.deployment
+	d := e.host.deployment
 	d.mu.Lock()
 	d.runs[string(body)]++
-	e.arrived = append(e.arrived, time.Now())
-	if e.seat.drains {
+	e.arrivals = append(e.arrivals, time.Now())
+	if e.host.draining {
 		w.Header().Set(names.Draining, "1")
 	}
 	d.mu.Unlock()
@@ -319,14 +319,14 @@
 		e.crash(r, string(body))
 		return
 	}
-	if e.seat.pool == "app" {
+	if e.host.pool == "app" {
 		_, _ = w.Write(body)
 		return
 	}
 	e.stream(w, r, string(body))
 }
 
-// stream sends twenty events, 15 ms apart, unless the body asks for another number.
+// stream sends events 15 ms apart: 60 if the body begins with long, else two.
 func (e *engine) stream(w http.ResponseWriter, r *http.Request, body string) {
 	first, count := 1, 2
 	if strings.HasPrefix(body, "long") {
@@ -341,70 +341,70 @@
 			return
 		case <-time.After(15 * time.Millisecond):
 		}
-		if e.muted.Load() {
+		if e.hung.Load() {
 			<-r.Context().Done()
 			return
 		}
 	}
 }
 
-// crash ends the engine with all that it runs. Another starts at its address later.
+// crash stops the engine with all its requests. Another starts at its address later.
 func (e *engine) crash(r *http.Request, body string) {
-	s, d := e.seat, e.seat.deployment
+	h, d := e.host, e.host.deployment
 	e.once.Do(func() {
 		e.end()
 		d.mu.Lock()
-		d.ended = append(d.ended, e.id)
-		server := s.server
+		d.crashed = append(d.crashed, e.id)
+		server := h.server
 		d.mu.Unlock()
-		if s.dark {
-			e.muted.Store(true)
-			time.AfterFunc(s.back, func() {
+		if h.hangs {
+			e.hung.Store(true)
+			time.AfterFunc(h.restartDelay, func() {
 				_ = server.Close()
-				s.start()
+				h.start()
 			})
 			return
 		}
 		_ = server.Close()
-		time.AfterFunc(s.back, s.start)
+		time.AfterFunc(h.restartDelay, h.start)
 	})
 	<-r.Context().Done()
 }
 
-// ran is how often a body was begun at engines, and ended how many engines were ended.
-func (d *deployment) ran(body string) int {
+// runCount returns how often engines have begun a body.
+func (d *deployment) runCount(body string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.runs[body]
 }
 
-func (d *deployment) endedEngines() int {
+func (d *deployment) crashCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.ended)
+	return len(d.crashed)
 }
 
-// answer is what a caller got.
-type answer struct {
+// result is the response that a caller got.
+type result struct {
 	status int
 	header http.Header
-	// whole says that the answer came to its end.
-	whole bool
-	took  time.Duration
+	// complete is set if the response was read to its end.
+	complete bool
+	took     time.Duration
 }
 
-// ask sends a request under an ID of its own and waits for the whole answer.
-func (d *deployment) ask(front int, key, path, body string) answer {
+// send sends a request with a new ID and reads the whole response.
+func (d *deployment) send(router int, key, path, body string) result {
 	ctx := d.t.Context()
-	if d.patience > 0 {
+	if d.callerTimeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, d.patience)
+		ctx, cancel = context.WithTimeout(ctx, d.callerTimeout)
 		defer cancel()
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.front[front]+path, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.addresses[router]+path, strings.NewReader(body))
 	assert.NilError(d.t, err)
 	request.Host = "h"
-	request.Header.Set(names.RequestID, fmt.Sprintf("%d try-%d", front, d.asked.Add(1)))
+	request.Header.Set(names.RequestID, fmt.Sprintf("%d try-%d", router, d.requests.Add(1)))
 	request.Header.Set("Authorization", "Bearer "+key)
 	if !strings.HasPrefix(path, "/pay") && !strings.HasPrefix(path, "/look") {
 		request.Header.Set(names.Model, "m")
@@ -413,25 +413,24 @@
 	begun := time.Now()
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return answer{took: time.Since(begun)}
+		return result{took: time.Since(begun)}
 	}
 	defer response.Body.Close()
 	_, err = io.Copy(io.Discard, response.Body)
-	return answer{status: response.StatusCode, header: response.Header, whole: err == nil, took: time.Since(begun)}
+	return result{status: response.StatusCode, header: response.Header, complete: err == nil, took: time.Since(begun)}
 }
 
-// askAsTold asks again, as a caller does, when engines are behind and it is told when to
-// come back: that depends on the machine that runs the test. No other answer is taken
-// for a refusal.
-func (d *deployment) askAsTold(front int, key, path, body string) answer {
-	got := d.ask(front, key, path, body)
+// sendWithRetries sends a request and retries as Retry-After asks while engines are behind,
+// which depends on the machine that runs the test. Any other response is final.
+func (d *deployment) sendWithRetries(router int, key, path, body string) result {
+	got := d.send(router, key, path, body)
 	for tries := 0; got.status == http.StatusServiceUnavailable && tries < 20; tries++ {
 		after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		if err != nil {
 			return got
 		}
 		time.Sleep(time.Duration(after * float64(time.Second)))
-		got = d.ask(front, key, path, body)
+		got = d.send(router, key, path, body)
 	}
 	return got
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,5 +1,5 @@
-// Package edge assembles a router that keeps no disk: the callers' listener,
-// the readiness listener, and the watch of the coordinators.
+// Package edge assembles a diskless router: the listeners for callers and readiness, and the
+// connection to the coordinators.
 package edge
 
 import (
@@ -30,13 +30,13 @@
 )
 
 const (
-	// noticeTime is how long a stopping router goes on to take requests while
-	// those who hand out callers learn that it is not ready.
-	noticeTime = 2300 * time.Millisecond
-	// overdueEvery is the time between two looks for requests whose deadline passed while
-	// the machine was suspended: it is what they may last longer.
-	overdueEvery = 250 * time.Millisecond
-	// Limits towards callers. A configuration may name tighter ones.
+	// drainNotice is how long a stopping router still accepts requests, while load balancers
+	// notice that it is not ready.
+	drainNotice = 2300 * time.Millisecond
+	// overdueInterval is the time between checks for requests whose deadline passed while the
+	// machine was suspended. They may outlast it by this much.
+	overdueInterval = 250 * time.Millisecond
+	// Limits towards callers. A configuration may set tighter ones.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
 	maxHeader     = 64 << 10
@@ -51,12 +51,12 @@
 	peers     *peer.Client
 	callers   *http.Server
 	readiness *http.Server
-	figures   *http.Server
+	metrics   *http.Server
 	cancel    context.CancelFunc
 	group     sync.WaitGroup
 }
 
-// New provisions a router.
+// New assembles a router.
 func New(config settings.DisklessRouter, headers vocabulary.Headers, decode follower.Decode, logger *slog.Logger) *Edge {
 	e := &Edge{settings: config, logger: logger, peers: peer.NewClient(&peer.Counters{})}
 	pool := backends.NewPool(config.Zone)
@@ -74,11 +74,11 @@
 	mux.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) { _, _ = e.handler.WriteTo(w) })
 	mux.HandleFunc("/", e.ready)
 	e.readiness = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
-	e.figures = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
+	e.metrics = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 	return e
 }
 
-// ready tells whether the router takes callers.
+// ready serves the readiness check.
 func (e *Edge) ready(w http.ResponseWriter, _ *http.Request) {
 	if !e.handler.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -94,7 +94,7 @@
 	e.cancel = cancel
 	e.group.Go(func() { e.follower.Run(ctx) })
 	e.group.Go(func() { e.follower.RunReports(ctx) })
-	e.group.Go(func() { periodic.Run(ctx, overdueEvery, e.handler.EndOverdue) })
+	e.group.Go(func() { periodic.Run(ctx, overdueInterval, e.handler.EndOverdue) })
 	if err := e.listen(e.readiness, e.settings.Readiness); err != nil {
 		return err
 	}
@@ -102,9 +102,9 @@
 		return err
 	}
 	if e.settings.Metrics != "" {
-		// A router without figures still serves.
-		if err := e.listen(e.figures, e.settings.Metrics); err != nil {
-			e.logger.Error("no figures", "part", "edge", "error", err.Error())
+		// A router without metrics still serves.
+		if err := e.listen(e.metrics, e.settings.Metrics); err != nil {
+			e.logger.Error("metrics listener failed", "part", "edge", "error", err.Error())
 		}
 	}
 	e.logger.Info("started", "part", "edge", "listen", e.settings.Listen, "seeds", e.settings.Coordinators(), "build", version.Build(),
@@ -125,26 +125,26 @@
 	return nil
 }
 
-// Reload takes new seeds.
+// Reload applies new seeds.
 func (e *Edge) Reload(config settings.DisklessRouter) {
 	e.follower.SetSeeds(config.Coordinators())
-	e.logger.Info("settings read again", "part", "edge", "seeds", config.Coordinators())
+	e.logger.Info("settings reloaded", "part", "edge", "seeds", config.Coordinators())
 }
 
-// Stop lets those who hand out callers learn that the router stops, then lets
-// requests in progress finish within the drain limit, and ends.
+// Stop reports the router as not ready, lets requests in progress finish within the drain limit,
+// and releases everything.
 func (e *Edge) Stop() {
 	e.logger.Info("stopping", "part", "edge", "limit_ms", e.settings.DrainLimit().Milliseconds())
 	ctx, cancel := context.WithTimeout(context.Background(), e.settings.DrainLimit())
 	defer cancel()
 	e.handler.Stop()
-	time.Sleep(min(noticeTime, e.settings.DrainLimit()/2))
+	time.Sleep(min(drainNotice, e.settings.DrainLimit()/2))
 	err := e.callers.Shutdown(ctx)
 	if err != nil {
 		_ = e.callers.Close()
 	}
 	_ = e.readiness.Close()
-	_ = e.figures.Close()
+	_ = e.metrics.Close()
 	e.handler.Wait()
 	e.cancel()
 	e.peers.Close()
--- a/internal/edge/ratelimit_test.go
+++ b/internal/edge/ratelimit_test.go
@@ -11,58 +11,58 @@
 	"gotest.tools/v3/assert"
 )
 
-// A back end that names a rate may get in any limitWindow half as much again and limitSlack
-// more, from routers that have had its word for underWay; all of that from limitBinds after
-// it named a limit first.
+// A back end that names a rate may get half as much again plus limitSlack in any limitWindow,
+// counting routers that have had its limit for inFlightTime. This holds from limitGrace after
+// the limit was set.
 const (
 	limitWindow = 4 * time.Second
 	limitSlack  = 5
-	limitBinds  = 3 * time.Second
+	limitGrace  = 3 * time.Second
 )
 
-// arrival is a request by a router.
+// arrival is a request from a router.
 type arrival struct {
 	at     time.Time
 	router string
 }
 
-// nameLimit notes what comes while the seat has a limit, and names that in the answer.
-func (e *engine) nameLimit(w http.ResponseWriter, r *http.Request) {
+// sendLimit records requests while the host has a limit, and names the limit in the response.
+func (e *engine) sendLimit(w http.ResponseWriter, r *http.Request) {
 	router, _, _ := strings.Cut(r.Header.Get(names.RequestID), " ")
-	d := e.seat.deployment
+	d := e.host.deployment
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if e.seat.limit == "" {
+	if e.host.limit == "" {
 		return
 	}
 	now := time.Now()
-	e.limited = append(e.limited, arrival{now, router})
-	if _, told := e.told[router]; !told {
-		e.told[router] = now
+	e.limitedArrivals = append(e.limitedArrivals, arrival{now, router})
+	if _, sent := e.limitSentAt[router]; !sent {
+		e.limitSentAt[router] = now
 	}
-	w.Header().Set(names.Limit, e.seat.limit)
+	w.Header().Set(names.Limit, e.host.limit)
 }
 
-// names sets what the engines at some seats take from all routers; empty ends it.
-func (d *deployment) names(seats []*seat, limit string) {
+// setLimit sets the limit of the engines of some hosts; empty ends it.
+func (d *deployment) setLimit(hosts []*host, limit string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, s := range seats {
-		s.limit = limit
+	for _, h := range hosts {
+		h.limit = limit
 	}
 }
 
-// most is the most that an engine got in any window from routers that had been told; since
-// is when it named its limit first.
-func (e *engine) most(since time.Time) int {
+// maxInWindow returns the most requests that an engine got in any window from routers that had
+// its limit, which it set at limitedAt.
+func (e *engine) maxInWindow(limitedAt time.Time) int {
 	most := 0
-	for i, last := range e.limited {
-		if last.at.Before(since.Add(limitBinds)) {
+	for i, last := range e.limitedArrivals {
+		if last.at.Before(limitedAt.Add(limitGrace)) {
 			continue
 		}
 		count := 0
-		for _, a := range e.limited[:i+1] {
-			if a.at.After(last.at.Add(-limitWindow)) && a.at.After(e.told[a.router].Add(underWay)) {
+		for _, a := range e.limitedArrivals[:i+1] {
+			if a.at.After(last.at.Add(-limitWindow)) && a.at.After(e.limitSentAt[a.router].Add(inFlightTime)) {
 				count++
 			}
 		}
@@ -71,13 +71,8 @@
 	return most
 }
 
-// What users saw: two of twelve engines named a limit of 1 request a second for all machines
-// together, and got 15 and 12 in 4 s from routers that had had the word for half a second; 11
-// are allowed. They got as much as before they named it: all attempts had been placed by the
-// leader and were answered with success, no line of any log said a word of the limit. Shown
-// by the engines' figures by second, which don't change where the limit begins, and by the
-// answers, whose header nothing read.
-func TestBackEndsThatNameALimitGetNoMore(t *testing.T) {
+// Back ends that name a limit must get no more than that from all routers together.
+func TestLimitedBackendsGetNoMoreThanLimit(t *testing.T) {
 	for path, c := range map[string]struct {
 		pool  string
 		limit string
@@ -87,80 +82,78 @@
 			rate, err := strconv.ParseFloat(c.limit, 64)
 			assert.NilError(t, err)
 			d := newDeployment(t, 3, 7, 6)
-			limited := d.ofPool(c.pool)[:2]
+			limited := d.poolHosts(c.pool)[:2]
 			begun := time.Now()
-			d.names(limited, c.limit)
-			ctx, cancel := context.WithTimeout(t.Context(), limitBinds+2*limitWindow)
+			d.setLimit(limited, c.limit)
+			ctx, cancel := context.WithTimeout(t.Context(), limitGrace+2*limitWindow)
 			defer cancel()
 			statuses := d.load(ctx, path)
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			for _, s := range limited {
-				e := s.current
-				assert.Assert(t, len(e.told) > 0, "%s was never asked", e.id)
+			for _, h := range limited {
+				e := h.current
+				assert.Assert(t, len(e.limitSentAt) > 0, "%s got no request", e.id)
 				allowed := int(1.5*rate*limitWindow.Seconds()) + limitSlack
-				assert.Assert(t, e.most(begun) <= allowed, "%s got %d in %v, allowed %d", e.id, e.most(begun), limitWindow, allowed)
-				// A limit is what it takes, not a reason to send it nothing.
+				assert.Assert(t, e.maxInWindow(begun) <= allowed, "%s got %d in %v, allowed %d", e.id, e.maxInWindow(begun), limitWindow, allowed)
+				// A limited back end must still get most of its rate.
 				least := int(0.8 * rate * 2 * limitWindow.Seconds())
-				assert.Assert(t, e.since(begun.Add(limitBinds)) >= least, "%s got %d, it takes more", e.id, e.since(begun.Add(limitBinds)))
+				assert.Assert(t, e.arrivalsAfter(begun.Add(limitGrace)) >= least, "%s got %d, below its limit", e.id, e.arrivalsAfter(begun.Add(limitGrace)))
 			}
-			// The others serve what it doesn't take.
+			// The other back ends serve the rest.
 			assert.Equal(t, len(statuses), 1, "%v", statuses)
 			assert.Assert(t, statuses[http.StatusOK] > 0)
 		})
 	}
 }
 
-// All plain back ends take five a second, and far more than that is asked for. They get
-// nearly all that they take and no more, while all coordinators are lost in the middle and the
-// new leader knows nothing of what the last one granted; who is turned away is told so at
-// once, and when to come back.
-func TestAllOfAPoolNameALimitAndAllCoordinatorsAreLost(t *testing.T) {
+// All back ends of a pool are limited, the demand is far higher, and all coordinators restart in
+// the middle and lose their state. The back ends get most of their rate and no more, and other
+// callers are refused with Retry-After.
+func TestLimitedPoolSurvivesCoordinatorRestart(t *testing.T) {
 	t.Parallel()
 	const rate = 5
 	d := newDeployment(t, 3, 7, 2)
-	limited := d.ofPool("app")
+	limited := d.poolHosts("app")
 	begun := time.Now()
-	d.names(limited, strconv.Itoa(rate))
-	ctx, cancel := context.WithTimeout(t.Context(), limitBinds+2*limitWindow)
+	d.setLimit(limited, strconv.Itoa(rate))
+	ctx, cancel := context.WithTimeout(t.Context(), limitGrace+2*limitWindow)
 	defer cancel()
-	time.AfterFunc(limitBinds+limitWindow/2, d.restartNodes)
+	time.AfterFunc(limitGrace+limitWindow/2, d.restartNodes)
 	statuses := d.load(ctx, "/pay/")
-	length := time.Since(begun) - limitBinds
+	length := time.Since(begun) - limitGrace
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, s := range limited {
-		e := s.current
+	for _, h := range limited {
+		e := h.current
 		allowed := int(1.5*rate*limitWindow.Seconds()) + limitSlack
-		assert.Assert(t, e.most(begun) <= allowed, "%s got %d in %v, allowed %d", e.id, e.most(begun), limitWindow, allowed)
-		// Two seconds are for the group to agree again, with no right to serve meanwhile.
+		assert.Assert(t, e.maxInWindow(begun) <= allowed, "%s got %d in %v, allowed %d", e.id, e.maxInWindow(begun), limitWindow, allowed)
+		// Two seconds are for an election, with no lease to serve in the meantime.
 		least := int(0.8 * rate * (length - 2*time.Second).Seconds())
-		assert.Assert(t, e.since(begun.Add(limitBinds)) >= least, "%s got %d in %v, it takes more", e.id, e.since(begun.Add(limitBinds)), length)
+		assert.Assert(t, e.arrivalsAfter(begun.Add(limitGrace)) >= least, "%s got %d in %v, below its limit", e.id, e.arrivalsAfter(begun.Add(limitGrace)), length)
 	}
 	for status := range statuses {
 		assert.Assert(t, status == http.StatusOK || status == http.StatusServiceUnavailable, "%v", statuses)
 	}
 }
 
-// When a limit ends its back end is one as the others again, within the time of a few of its
-// answers.
-func TestABackEndIsSentToFreelyWhenItsLimitEnds(t *testing.T) {
+// A back end whose limit ends gets its share of requests again, after a few of its responses.
+func TestBackendGetsFullShareAfterLimitEnds(t *testing.T) {
 	for path, pool := range map[string]string{"/chat/": "llm", "/pay/": "app"} {
 		t.Run(pool, func(t *testing.T) {
 			t.Parallel()
 			d := newDeployment(t, 3, 2, 4)
-			limited := d.ofPool(pool)[:1]
-			d.names(limited, "2")
+			limited := d.poolHosts(pool)[:1]
+			d.setLimit(limited, "2")
 			ctx, cancel := context.WithTimeout(t.Context(), 7*time.Second)
 			defer cancel()
-			time.AfterFunc(3*time.Second, func() { d.names(limited, "") })
+			time.AfterFunc(3*time.Second, func() { d.setLimit(limited, "") })
 			statuses := d.load(ctx, path)
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			assert.Equal(t, len(statuses), 1, "%v", statuses)
 			last := time.Now().Add(-2 * time.Second)
 			count := 0
-			for _, at := range limited[0].current.arrived {
+			for _, at := range limited[0].current.arrivals {
 				if at.After(last) {
 					count++
 				}
@@ -170,10 +163,10 @@
 	}
 }
 
-// since is how much the engine got after a moment.
-func (e *engine) since(from time.Time) int {
+// arrivalsAfter returns how many requests an engine got under its limit after a time.
+func (e *engine) arrivalsAfter(from time.Time) int {
 	count := 0
-	for _, a := range e.limited {
+	for _, a := range e.limitedArrivals {
 		if a.at.After(from) {
 			count++
 		}
--- a/internal/edge/restart_test.go
+++ b/internal/edge/restart_test.go
@@ -10,91 +10,90 @@
 	"gotest.tools/v3/poll"
 )
 
-// again ends a seat's engine without a word and starts another there at once, under the
-// same name if the seat has one.
-func (s *seat) again() {
-	s.deployment.mu.Lock()
-	end, server := s.current.end, s.server
-	s.deployment.mu.Unlock()
+// restart crashes a host's engine and starts another there at once, under the same name if the
+// host has one.
+func (h *host) restart() {
+	h.deployment.mu.Lock()
+	end, server := h.current.end, h.server
+	h.deployment.mu.Unlock()
 	end()
 	_ = server.Close()
-	s.start()
+	h.start()
 }
 
-// Engines crash and start again under their names within milliseconds, before anyone saw
-// silence, and again, and all of them at once: each start gets requests as soon as it is
-// known, and none is answered 421 for long. Before, a start under a name that was known
-// stayed out: its heartbeats counted as late ones.
-func TestBackEndsThatStartAgainUnderTheirNamesServe(t *testing.T) {
+// Engines that crash and start again under the same name within milliseconds, one or all of them
+// at once and again, must get requests soon. Heartbeats of the new start must not count as late
+// ones of the last.
+func TestRestartedBackendsServeUnderSameName(t *testing.T) {
 	d := newDeployment(t, 3, 2, 1)
-	nameless := d.ofPool("llm")[0]
+	nameless := d.poolHosts("llm")[0]
 	for _, name := range []string{"e1", "e2", "e3"} {
-		s := &seat{deployment: d, pool: "llm", address: freeAddress(t), name: name, back: 50 * time.Millisecond}
+		h := &host{deployment: d, pool: "llm", address: freeAddress(t), name: name, restartDelay: 50 * time.Millisecond}
 		d.mu.Lock()
-		d.seats = append(d.seats, s)
+		d.hosts = append(d.hosts, h)
 		d.mu.Unlock()
-		s.start()
+		h.start()
 	}
-	engines := d.ofPool("llm")[1:]
+	engines := d.poolHosts("llm")[1:]
 	d.mu.Lock()
 	nameless.current.end()
 	_ = nameless.server.Close()
 	d.mu.Unlock()
 	d.awaitServed("first")
-	engines[0].again()
+	engines[0].restart()
 	d.awaitServed("one again")
 	for range 2 {
-		for _, s := range engines {
-			s.again()
+		for _, h := range engines {
+			h.restart()
 		}
 	}
 	d.awaitServed("all again")
 	d.restartNodes()
-	engines[1].again()
+	engines[1].restart()
 	d.awaitServed("beside a change of leaders")
-	// A drain of the start before does not bind this one.
+	// Draining of the last start does not bind the new one.
 	d.mu.Lock()
-	engines[0].drains = true
+	engines[0].draining = true
 	d.mu.Unlock()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	d.load(ctx, "/chat/")
 	d.mu.Lock()
-	engines[0].drains = false
+	engines[0].draining = false
 	d.mu.Unlock()
-	engines[0].again()
+	engines[0].restart()
 	d.awaitArrival(engines[0])
 }
 
-// awaitServed waits until each router is served a number of times in a row.
-func (d *deployment) awaitServed(what string) {
+// awaitServed waits until each router has served five requests in a row.
+func (d *deployment) awaitServed(body string) {
 	d.t.Helper()
-	for front := range d.front {
+	for router := range d.addresses {
 		row := 0
 		poll.WaitOn(d.t, func(poll.LogT) poll.Result {
-			got := d.ask(front, "ka", "/chat/", what)
-			if row++; got.status != http.StatusOK || !got.whole {
+			got := d.send(router, "ka", "/chat/", body)
+			if row++; got.status != http.StatusOK || !got.complete {
 				row = 0
 			}
 			if row < 5 {
-				return poll.Continue("%s: %+v", what, got)
+				return poll.Continue("%s: %+v", body, got)
 			}
 			return poll.Success()
 		}, poll.WithTimeout(20*time.Second), poll.WithDelay(10*time.Millisecond))
 	}
 }
 
-// awaitArrival waits until a seat's present engine has run something.
-func (d *deployment) awaitArrival(s *seat) {
+// awaitArrival waits until a host's current engine has run a request.
+func (d *deployment) awaitArrival(h *host) {
 	d.t.Helper()
 	poll.WaitOn(d.t, func(poll.LogT) poll.Result {
-		d.ask(0, "ka", "/chat/", "to all")
+		d.send(0, "ka", "/chat/", "to all")
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if len(s.current.arrived) == 0 {
+		if len(h.current.arrivals) == 0 {
 			return poll.Continue("nothing")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(10*time.Millisecond))
-	assert.Assert(d.t, s.starts > 1)
+	assert.Assert(d.t, h.starts > 1)
 }
