--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -24,8 +24,7 @@
 	return a.controller.Admit(now, r)
 }
 
-// weight is a tenant's share at the given time, raised by the events that it
-// takes part in.
+// weight returns a tenant's weight at a time, raised by the events that it takes part in.
 func weight(config *board.Config, name string, tenant bundle.Tenant, at time.Time) float64 {
 	total := tenant.Weight
 	for _, event := range config.Bundle.Events {
--- a/internal/gateway/application.go
+++ b/internal/gateway/application.go
@@ -25,13 +25,12 @@
 const (
 	workerDialTimeout = 500 * time.Millisecond
 	maxIdempotencyKey = 128
-	maxAnswer         = 8 << 20
+	maxResponse       = 8 << 20
 	maxWorkerTries    = 3
 	// claimTimeout bounds the wait for a claim.
 	claimTimeout = 2 * time.Second
-	// crashSlack is how long after a route's deadline a running attempt is
-	// taken for lost.
-	crashSlack = 5 * time.Second
+	// lostAttemptGrace is how long after a route's deadline a running attempt counts as lost.
+	lostAttemptGrace = 5 * time.Second
 )
 
 // call is a checked application call.
@@ -44,8 +43,8 @@
 	header http.Header
 }
 
-// answer is what a worker said.
-type answer struct {
+// workerResponse is the response of a worker.
+type workerResponse struct {
 	status      int
 	contentType string
 	body        []byte
@@ -72,7 +71,7 @@
 
 // application serves the application routes of the bundle.
 func (g *Gateway) application(c echo.Context) error {
-	config, err := g.authority()
+	config, err := g.servingConfig()
 	if err != nil {
 		return err
 	}
@@ -92,7 +91,7 @@
 	g.metrics.open.Inc()
 	defer g.metrics.open.Dec()
 	r := &call{id: requestID(c), tenant: tenant, path: path, route: route, body: body, header: c.Request().Header}
-	var result answer
+	var result workerResponse
 	if route.Repeatable {
 		result, err = g.callRepeatable(c.Request().Context(), r)
 	} else {
@@ -105,8 +104,8 @@
 	return c.Blob(result.status, result.contentType, result.body)
 }
 
-// callRepeatable tries workers until one answers.
-func (g *Gateway) callRepeatable(ctx context.Context, r *call) (answer, error) {
+// callRepeatable tries workers until one responds.
+func (g *Gateway) callRepeatable(ctx context.Context, r *call) (workerResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.route.Deadline)
 	defer cancel()
 	var last error
@@ -121,56 +120,56 @@
 		}
 	}
 	if last == nil || errors.Is(last, dispatch.ErrNotSent) {
-		return answer{}, notRun(http.StatusServiceUnavailable, "no application worker can be reached", time.Second)
+		return workerResponse{}, notRun(http.StatusServiceUnavailable, "no application worker can be reached", time.Second)
 	}
-	return answer{}, unknownOutcome("the application worker gave no answer")
+	return workerResponse{}, unknownOutcome("the application worker gave no answer")
 }
 
 // callOnce runs a call that may not be repeated, under a claim on its key.
-func (g *Gateway) callOnce(ctx context.Context, r *call) (answer, error) {
+func (g *Gateway) callOnce(ctx context.Context, r *call) (workerResponse, error) {
 	key := r.header.Get(headerIdempotencyKey)
 	if key == "" || len(key) > maxIdempotencyKey {
-		return answer{}, invalid(http.StatusBadRequest, headerIdempotencyKey, "this route needs an Idempotency-Key of at most 128 characters")
+		return workerResponse{}, invalid(http.StatusBadRequest, headerIdempotencyKey, "this route needs an Idempotency-Key of at most 128 characters")
 	}
 	claim := state.ClaimOperation{Tenant: r.tenant, Key: key, Attempt: r.id, Request: digestOf(r)}
-	limited, cancel := context.WithTimeout(ctx, claimTimeout)
+	claimCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	held, err := g.config.Claims.Acquire(limited, claim)
+	result, err := g.config.Claims.Acquire(claimCtx, claim)
 	if err != nil {
-		return answer{}, notRun(http.StatusServiceUnavailable, claims.ErrNoQuorum.Error(), time.Second)
+		return workerResponse{}, notRun(http.StatusServiceUnavailable, claims.ErrNoQuorum.Error(), time.Second)
 	}
-	if held.State != state.ClaimGranted {
-		return repeated(r, held)
+	if result.State != state.ClaimGranted {
+		return repeatedCall(r, result)
 	}
 	return g.runOnce(r, claim)
 }
 
-// repeated answers a call whose key has been used before.
-func repeated(r *call, held state.ClaimResult) (answer, error) {
-	switch held.State {
+// repeatedCall returns the result for a call whose key has been used before.
+func repeatedCall(r *call, claim state.ClaimResult) (workerResponse, error) {
+	switch claim.State {
 	case state.ClaimFinished:
 		switch {
-		case held.Outcome.Unknown:
-			return answer{}, unknownOutcome("the first attempt with this key was sent and gave no answer")
-		case held.Outcome.Truncated:
-			return answer{}, unknownOutcome("the call was run; its answer was too long to keep")
+		case claim.Outcome.Unknown:
+			return workerResponse{}, unknownOutcome("the first attempt with this key was sent and gave no answer")
+		case claim.Outcome.Truncated:
+			return workerResponse{}, unknownOutcome("the call was run; its answer was too long to keep")
 		}
-		return answer{held.Outcome.Status, held.Outcome.ContentType, held.Outcome.Body}, nil
+		return workerResponse{claim.Outcome.Status, claim.Outcome.ContentType, claim.Outcome.Body}, nil
 	case state.ClaimMismatch:
-		return answer{}, invalid(http.StatusUnprocessableEntity, headerIdempotencyKey, "this key was used for another request")
+		return workerResponse{}, invalid(http.StatusUnprocessableEntity, headerIdempotencyKey, "this key was used for another request")
 	case state.ClaimRunning:
-		if time.Duration(held.Age)*time.Millisecond > r.route.Deadline+crashSlack {
-			return answer{}, unknownOutcome("the first attempt with this key was lost with its router")
+		if time.Duration(claim.Age)*time.Millisecond > r.route.Deadline+lostAttemptGrace {
+			return workerResponse{}, unknownOutcome("the first attempt with this key was lost with its router")
 		}
 		conflict := notRun(http.StatusConflict, "a request with this key is running", time.Second)
-		return answer{}, conflict
+		return workerResponse{}, conflict
 	}
-	return answer{}, notRun(http.StatusServiceUnavailable, "the claim was given up", time.Second)
+	return workerResponse{}, notRun(http.StatusServiceUnavailable, "the claim was given up", time.Second)
 }
 
-// runOnce runs the one attempt. It goes on when the caller goes away, so that
-// the outcome is known to the next who asks.
-func (g *Gateway) runOnce(r *call, claim state.ClaimOperation) (answer, error) {
+// runOnce makes the only attempt. It continues when the caller disconnects, so that a repeat of
+// the call gets the outcome.
+func (g *Gateway) runOnce(r *call, claim state.ClaimOperation) (workerResponse, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.route.Deadline)
 	defer cancel()
 	for tries, worker := range g.applications() {
@@ -181,24 +180,23 @@
 			return result, nil
 		case !errors.Is(err, dispatch.ErrNotSent):
 			g.config.Claims.Finish(claim, state.Outcome{Unknown: true})
-			return answer{}, unknownOutcome("the call was sent and no answer came")
+			return workerResponse{}, unknownOutcome("the call was sent and no answer came")
 		}
 		if tries+1 >= maxWorkerTries || ctx.Err() != nil {
 			break
 		}
 	}
 	g.config.Claims.Release(claim)
-	return answer{}, notRun(http.StatusServiceUnavailable, "no application worker can be reached", time.Second)
+	return workerResponse{}, notRun(http.StatusServiceUnavailable, "no application worker can be reached", time.Second)
 }
 
-// callWorker sends a call to one worker. ErrNotSent marks errors before any
-// byte was sent.
-func (g *Gateway) callWorker(ctx context.Context, r *call, worker membership.Application) (answer, error) {
+// callWorker sends a call to one worker. ErrNotSent marks errors before any byte was sent.
+func (g *Gateway) callWorker(ctx context.Context, r *call, worker membership.Application) (workerResponse, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+worker.Address+r.path, bytes.NewReader(r.body))
 	if err != nil {
-		return answer{}, errors.Mark(err, dispatch.ErrNotSent)
+		return workerResponse{}, errors.Mark(err, dispatch.ErrNotSent)
 	}
-	// Without GetBody the transport never sends a call a second time by itself.
+	// Without GetBody the transport never repeats a call by itself.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", r.header.Get("Content-Type"))
 	request.Header.Set(headerRequestID, r.id)
@@ -207,20 +205,20 @@
 	response, err := g.workers.Do(request)
 	if err != nil {
 		g.config.Pool.Failed(g.config.Now(), worker.ID)
-		return answer{}, errors.Wrap(err, "call worker")
+		return workerResponse{}, errors.Wrap(err, "call worker")
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
 		g.config.Pool.Failed(g.config.Now(), worker.ID)
-		return answer{}, errors.Wrap(err, "read worker's answer")
+		return workerResponse{}, errors.Wrap(err, "read worker response")
 	}
 	g.config.Pool.Succeeded(worker.ID)
-	return answer{response.StatusCode, response.Header.Get("Content-Type"), body}, nil
+	return workerResponse{response.StatusCode, response.Header.Get("Content-Type"), body}, nil
 }
 
-// applications returns the workers in the order to try: the router's own zone
-// first, suspect ones last.
+// applications returns the workers in the order to try: the router's own zone first, suspect
+// ones last.
 func (g *Gateway) applications() []membership.Application {
 	workers := g.config.Pool.Applications(g.config.Now())
 	rand.Shuffle(len(workers), func(i, j int) { workers[i], workers[j] = workers[j], workers[i] })
--- a/internal/gateway/completions.go
+++ b/internal/gateway/completions.go
@@ -34,7 +34,7 @@
 
 // completions serves both completion APIs.
 func (g *Gateway) completions(c echo.Context) error {
-	config, err := g.authority()
+	config, err := g.servingConfig()
 	if err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 	return notRun(http.StatusTooManyRequests, "the first token would come too late: "+verdict.Reason, verdict.RetryAfter)
 }
 
-// prepare checks a request and describes it to placement and admission.
+// prepare checks a request and describes it for placement and admission.
 func (g *Gateway) prepare(c echo.Context, config *board.Config) (*generation, error) {
 	name, tenant, err := authenticate(c, config)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return r, nil
 }
 
-// check checks the request itself.
+// check validates the fields of the request.
 func (r *generation) check(c echo.Context, config *board.Config) error {
 	model, known := config.Bundle.Models[r.request.Model]
 	if !known {
@@ -181,7 +181,7 @@
 	case err != nil:
 		return nil, invalid(http.StatusRequestTimeout, "", "the body did not arrive: "+err.Error())
 	}
-	// The read timeout is for the body; the answer may take longer.
+	// The read timeout is for the body; the response may take longer.
 	_ = http.NewResponseController(c.Response().Writer).SetReadDeadline(time.Time{})
 	return body, nil
 }
@@ -213,7 +213,8 @@
 	return name, nil
 }
 
-// minimumWeights is the highest of what the bundle and the caller ask for.
+// minimumWeights returns the higher of the weights versions that the bundle and the caller
+// require.
 func minimumWeights(c echo.Context, model bundle.Model) (int, error) {
 	text := c.Request().Header.Get(headerMinimumWeights)
 	if text == "" {
--- a/internal/gateway/errors.go
+++ b/internal/gateway/errors.go
@@ -13,19 +13,18 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Outcome says of a failed request whether it was run.
+// Outcome says whether a failed request was run.
 type Outcome string
 
 // The outcomes.
 const (
-	// OutcomeNotRun says that the request was not run and will not be.
+	// OutcomeNotRun means that the request was not run and will not be.
 	OutcomeNotRun Outcome = "not_run"
-	// OutcomeUnknown says that the request may have been run. It is never
-	// repeated by the router.
+	// OutcomeUnknown means that the request may have been run. The router never repeats it.
 	OutcomeUnknown Outcome = "outcome_unknown"
 )
 
-// APIError is an error answer in the shape of the OpenAI API.
+// APIError is an error response in the format of the OpenAI API.
 type APIError struct {
 	Status     int
 	Outcome    Outcome
@@ -57,13 +56,13 @@
 	return errorBody{Error: detail}
 }
 
-// invalid is the answer to a request that is at fault itself.
+// invalid returns the error for a request that is itself at fault.
 func invalid(status int, parameter, message string) *APIError {
 	return &APIError{Status: status, Outcome: OutcomeNotRun, Type: "invalid_request_error", Parameter: parameter, Message: message}
 }
 
-// notRun is the answer to a request that cannot be served now. It comes at
-// once and says when to come back.
+// notRun returns the error for a request that cannot be served now, with the time after which to
+// retry.
 func notRun(status int, message string, retryAfter time.Duration) *APIError {
 	return &APIError{Status: status, Outcome: OutcomeNotRun, Type: "not_run", Message: message, RetryAfter: retryAfter}
 }
@@ -72,31 +71,31 @@
 	return &APIError{Status: http.StatusBadGateway, Outcome: OutcomeUnknown, Type: "outcome_unknown", Message: message}
 }
 
-// handleError writes an error answer, unless the answer has begun.
+// handleError writes an error response, unless the response has begun.
 func (g *Gateway) handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
-	answer := asAPIError(err)
+	apiError := asAPIError(err)
 	header := c.Response().Header()
-	if answer.RetryAfter > 0 {
-		header.Set(headerRetryAfter, strconv.Itoa(int(math.Ceil(answer.RetryAfter.Seconds()))))
+	if apiError.RetryAfter > 0 {
+		header.Set(headerRetryAfter, strconv.Itoa(int(math.Ceil(apiError.RetryAfter.Seconds()))))
 	}
-	header.Set(headerOutcome, string(answer.Outcome))
-	g.metrics.refused(answer)
-	if err := c.JSON(answer.Status, answer.body()); err != nil {
-		g.logger.Debug("error answer was not delivered", "error", err)
+	header.Set(headerOutcome, string(apiError.Outcome))
+	g.metrics.refused(apiError)
+	if err := c.JSON(apiError.Status, apiError.body()); err != nil {
+		g.logger.Debug("cannot send error response", "error", err)
 	}
 }
 
 func asAPIError(err error) *APIError {
-	var answer *APIError
-	if errors.As(err, &answer) {
-		return answer
+	var apiError *APIError
+	if errors.As(err, &apiError) {
+		return apiError
 	}
-	var framework *echo.HTTPError
-	if errors.As(err, &framework) {
-		return invalid(framework.Code, "", http.StatusText(framework.Code))
+	var httpError *echo.HTTPError
+	if errors.As(err, &httpError) {
+		return invalid(httpError.Code, "", http.StatusText(httpError.Code))
 	}
 	if errors.Is(err, context.Canceled) {
 		return notRun(499, "the caller went away", 0)
@@ -104,19 +103,19 @@
 	return &APIError{Status: http.StatusInternalServerError, Outcome: OutcomeUnknown, Type: "server_error", Message: err.Error()}
 }
 
-// maxRequestID bounds the part of a request's name that the caller chooses.
+// maxRequestID bounds the part of a request ID that the caller chooses.
 const maxRequestID = 64
 
-// identify names the request. The caller's own name is kept at its front; the
-// rest makes it unique, so that no two requests meet at an engine.
-func (g *Gateway) identify(next echo.HandlerFunc) echo.HandlerFunc {
+// assignRequestID sets the request's ID: the caller's own, if valid, followed by a random part
+// that makes it unique at the engines.
+func (g *Gateway) assignRequestID(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		id := randomName()
-		if own := c.Request().Header.Get(headerRequestID); validName(own) {
+		id := randomID()
+		if own := c.Request().Header.Get(headerRequestID); validID(own) {
 			id = own + "-" + id
 		}
 		c.Set(headerRequestID, id)
-		// An earlier request of the connection may have left its deadline.
+		// An earlier request on the connection may have set a deadline.
 		_ = http.NewResponseController(c.Response().Writer).SetWriteDeadline(time.Time{})
 		c.Response().Header().Set(headerRequestID, id)
 		return next(c)
@@ -128,17 +127,17 @@
 	return id
 }
 
-func randomName() string {
+func randomID() string {
 	var buffer [12]byte
 	_, _ = rand.Read(buffer[:])
 	return hex.EncodeToString(buffer[:])
 }
 
-func validName(name string) bool {
-	if name == "" || len(name) > maxRequestID {
+func validID(id string) bool {
+	if id == "" || len(id) > maxRequestID {
 		return false
 	}
-	for _, r := range name {
+	for _, r := range id {
 		if r <= ' ' || r > '~' {
 			return false
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway is the callers' side of a router: an OpenAI-style HTTP API,
-// application routes, health and metrics.
+// Package gateway serves the callers of a router: an OpenAI-style HTTP API, application routes,
+// health and metrics.
 package gateway
 
 import (
@@ -37,12 +37,12 @@
 	readTimeout       = 30 * time.Second
 	idleTimeout       = 2 * time.Minute
 	maxHeaderBytes    = 64 << 10
-	// writeTimeout bounds each write to a caller. A caller that does not read
-	// for so long is cut off.
+	// writeTimeout bounds each write to a caller. A caller that does not read for this long is
+	// disconnected.
 	writeTimeout = 10 * time.Second
 )
 
-// Config is what a Gateway works with.
+// Config configures a Gateway.
 type Config struct {
 	Zone       string
 	MaxBody    int64
@@ -66,14 +66,14 @@
 	server    *http.Server
 }
 
-// New provisions a gateway. Server returns what serves it.
+// New returns a gateway, which Server serves.
 func New(config Config) *Gateway {
 	g := &Gateway{config: config, logger: telemetry.Part(config.Logger, "gateway"), admission: newAdmission(),
 		metrics: newMetrics(config.Registry), workers: newWorkerClient()}
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.HTTPErrorHandler = g.handleError
-	e.Use(g.identify)
+	e.Use(g.assignRequestID)
 	e.GET("/healthz", func(c echo.Context) error { return c.NoContent(http.StatusOK) })
 	e.GET("/readyz", g.ready)
 	e.GET("/metrics", echo.WrapHandler(telemetry.Handler(config.Registry)))
@@ -93,20 +93,19 @@
 	return g
 }
 
-// Server returns the HTTP server, which the router's life cycle starts and
-// stops.
+// Server returns the HTTP server. The router starts and stops it.
 func (g *Gateway) Server() *http.Server { return g.server }
 
-// ready tells whether the router takes new work.
+// ready serves the readiness check.
 func (g *Gateway) ready(c echo.Context) error {
-	if _, err := g.authority(); err != nil {
+	if _, err := g.servingConfig(); err != nil {
 		return err
 	}
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// authority returns the bundle to serve by, or why the router takes no work.
-func (g *Gateway) authority() (*board.Config, error) {
+// servingConfig returns the bundle to serve by, or an error if the router takes no requests.
+func (g *Gateway) servingConfig() (*board.Config, error) {
 	if draining := g.config.Board.Draining.Load(); draining != nil && *draining {
 		return nil, notRun(http.StatusServiceUnavailable, "this router is stopping", time.Second)
 	}
@@ -130,7 +129,7 @@
 }
 
 func (g *Gateway) models(c echo.Context) error {
-	config, err := g.authority()
+	config, err := g.servingConfig()
 	if err != nil {
 		return err
 	}
@@ -142,7 +141,7 @@
 }
 
 func (g *Gateway) model(c echo.Context) error {
-	config, err := g.authority()
+	config, err := g.servingConfig()
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -34,16 +34,15 @@
 	"quinceridge.example/quinceridge/internal/trace"
 )
 
-// localLog runs commands on a state machine in this process. Lost makes it
-// unreachable.
-type localLog struct {
+// fakeLog runs commands on a local state machine. While lost is set it is unreachable.
+type fakeLog struct {
 	mu      sync.Mutex
 	machine *state.Machine
 	index   uint64
 	lost    atomic.Bool
 }
 
-func (l *localLog) Submit(_ context.Context, c state.Command) (state.Result, error) {
+func (l *fakeLog) Submit(_ context.Context, c state.Command) (state.Result, error) {
 	if l.lost.Load() {
 		return state.Result{}, errors.New("no leader")
 	}
@@ -57,15 +56,15 @@
 	return l.machine.Apply(l.index, 1, text)
 }
 
-// fixture is a gateway before one engine and one worker.
+// fixture is a gateway with one engine and one worker.
 type fixture struct {
 	gateway   *Gateway
 	board     *board.Board
 	authority *board.Writer[board.Authority]
-	log       *localLog
+	log       *fakeLog
 	runs      atomic.Int64
-	// work answers the worker's calls.
-	work func(w http.ResponseWriter, r *http.Request)
+	// handle serves the worker's calls.
+	handle func(w http.ResponseWriter, r *http.Request)
 }
 
 func digest(text string) string {
@@ -74,12 +73,12 @@
 }
 
 func newFixture(t testing.TB) *fixture {
-	f := &fixture{board: &board.Board{}, log: &localLog{machine: state.New()}}
-	f.work = func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) }
+	f := &fixture{board: &board.Board{}, log: &fakeLog{machine: state.New()}}
+	f.handle = func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) }
 	engine := httptest.NewServer(http.HandlerFunc(serveEngine))
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f.runs.Add(1)
-		f.work(w, r)
+		f.handle(w, r)
 	}))
 	t.Cleanup(engine.Close)
 	t.Cleanup(worker.Close)
@@ -114,7 +113,7 @@
 	return f
 }
 
-// serveEngine answers "hello world " in two tokens.
+// serveEngine generates "hello world " in two tokens.
 func serveEngine(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(engineapi.HeaderRequestID)
 	reason := "stop"
@@ -141,7 +140,7 @@
 	return w
 }
 
-func TestBadInputIsATypedRefusal(t *testing.T) {
+func TestInvalidInputIsRejected(t *testing.T) {
 	f := newFixture(t)
 	for _, c := range []struct {
 		name, path, body string
@@ -179,7 +178,7 @@
 	assert.Equal(t, f.runs.Load(), int64(0))
 }
 
-func TestAnswersAreStreamedOrWhole(t *testing.T) {
+func TestResponsesAreStreamedOrWhole(t *testing.T) {
 	f := newFixture(t)
 	w := f.call("/v1/completions", `{"model":"m","prompt":"p","stream":true}`)
 	assert.Equal(t, w.Code, 200)
@@ -192,7 +191,7 @@
 	assert.Equal(t, whole.Object, "text_completion")
 }
 
-func TestARouterWithoutRightTakesNoWork(t *testing.T) {
+func TestRouterWithoutLeaseRejectsRequests(t *testing.T) {
 	f := newFixture(t)
 	f.authority.Store(&board.Authority{Mode: agent.ModeNone})
 	w := f.call("/v1/completions", `{"model":"m","prompt":"p"}`)
@@ -208,7 +207,7 @@
 	assert.Equal(t, alive.Code, 200)
 }
 
-func TestAChargeRunsOnceHoweverOftenItIsSent(t *testing.T) {
+func TestRepeatedCallRunsOnce(t *testing.T) {
 	f := newFixture(t)
 	var group sync.WaitGroup
 	for range 20 {
@@ -226,8 +225,8 @@
 	assert.Equal(t, f.runs.Load(), int64(1))
 }
 
-// callUntilKnown repeats a call until its key is not running any more: the
-// first outcome is stored in the background.
+// callUntilKnown repeats a call until its key is no longer running, since the outcome is stored
+// in the background.
 func (f *fixture) callUntilKnown(path, body string) *httptest.ResponseRecorder {
 	for {
 		w := f.call(path, body, "Idempotency-Key", "k")
@@ -238,9 +237,9 @@
 	}
 }
 
-func TestAChargeWhoseAnswerIsLostIsNeverRunAgain(t *testing.T) {
+func TestCallWithLostResponseIsNotRepeated(t *testing.T) {
 	f := newFixture(t)
-	f.work = func(w http.ResponseWriter, _ *http.Request) {
+	f.handle = func(w http.ResponseWriter, _ *http.Request) {
 		connection, _, err := http.NewResponseController(w).Hijack()
 		if err == nil {
 			_ = connection.Close()
@@ -254,7 +253,7 @@
 	assert.Equal(t, f.runs.Load(), int64(1))
 }
 
-func TestWithoutQuorumAChargeIsRefusedAsNotRun(t *testing.T) {
+func TestCallWithoutQuorumIsNotRun(t *testing.T) {
 	f := newFixture(t)
 	f.log.lost.Store(true)
 	w := f.call("/app/charges", `{}`, "Idempotency-Key", "k")
@@ -266,7 +265,7 @@
 	assert.Equal(t, w.Code, 200) // repeatable calls need no claim
 }
 
-func TestRequestNamesAreUniqueAndKeepTheCallersOwn(t *testing.T) {
+func TestRequestIDsAreUniqueAndKeepCallersOwn(t *testing.T) {
 	f := newFixture(t)
 	body := `{"model":"m","prompt":"p"}`
 	first := f.call("/v1/completions", body, "X-Request-Id", "mine").Header().Get("X-Request-Id")
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics are the figures of a gateway.
+// metrics holds the metrics of a gateway.
 type metrics struct {
 	requests   *prometheus.CounterVec
 	firstToken *prometheus.HistogramVec
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -13,13 +13,13 @@
 	"quinceridge.example/quinceridge/internal/engineapi"
 )
 
-// sink gives an answer to the caller, event by event or whole.
+// sink sends a response to the caller, as events or as a whole.
 type sink struct {
 	context    echo.Context
 	gateway    *Gateway
 	generation *generation
 	controller *http.ResponseController
-	// text and last build a whole answer.
+	// text and last collect a response that is sent as a whole.
 	text strings.Builder
 	last *engineapi.Chunk
 	seen bool
@@ -71,13 +71,13 @@
 	return errors.Wrap(s.controller.Flush(), "flush event")
 }
 
-// finish ends the answer, with its end mark or an explicit error.
+// finish completes the response, with the end marker or an error.
 func (s *sink) finish(err error) error {
 	switch {
 	case err == nil && s.generation.request.Stream:
 		return s.write("data: " + engineapi.Done + "\n\n")
 	case err == nil:
-		return s.whole()
+		return s.writeResponse()
 	case s.context.Response().Committed:
 		s.gateway.metrics.cut()
 		return s.writeError(err)
@@ -85,7 +85,7 @@
 	return asRefusal(err)
 }
 
-// writeError ends a begun stream with an error event.
+// writeError ends a stream with an error event.
 func (s *sink) writeError(cause error) error {
 	body := (&APIError{Outcome: OutcomeUnknown, Type: "answer_cut", Message: cause.Error()}).body()
 	text, err := json.Marshal(body)
@@ -98,24 +98,24 @@
 	return cause
 }
 
-// whole sends the answer as one JSON object.
-func (s *sink) whole() error {
-	answer := s.last
-	choice := &answer.Choices[0]
+// writeResponse sends the response as one JSON object.
+func (s *sink) writeResponse() error {
+	response := s.last
+	choice := &response.Choices[0]
 	text := s.text.String()
 	if choice.Delta != nil {
 		choice.Delta = nil
 		choice.Message = &engineapi.Message{Role: "assistant", Content: text}
-		answer.Object = "chat.completion"
+		response.Object = "chat.completion"
 	} else {
 		choice.Text = text
-		answer.Object = "text_completion"
+		response.Object = "text_completion"
 	}
 	_ = s.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
-	return s.context.JSON(http.StatusOK, answer)
+	return s.context.JSON(http.StatusOK, response)
 }
 
-// asRefusal turns the end of a request without any answer into an API error.
+// asRefusal converts the error of a request without any response to an API error.
 func asRefusal(err error) error {
 	var refusal *dispatch.RefusalError
 	switch {
