--- a/internal/bounded/bounded_test.go
+++ b/internal/bounded/bounded_test.go
@@ -26,11 +26,11 @@
 }
 
 func ExampleDropOldest() {
-	heard := map[string]time.Duration{"a": 3, "b": 1, "c": 2}
-	DropOldest(heard, 2, func(at time.Duration) time.Duration { return at })
-	fmt.Println(heard)
-	DropOldest(heard, 5, func(at time.Duration) time.Duration { return at })
-	fmt.Println(len(heard))
+	seen := map[string]time.Duration{"a": 3, "b": 1, "c": 2}
+	DropOldest(seen, 2, func(at time.Duration) time.Duration { return at })
+	fmt.Println(seen)
+	DropOldest(seen, 5, func(at time.Duration) time.Duration { return at })
+	fmt.Println(len(seen))
 	// Output:
 	// map[a:3ns]
 	// 0
--- a/internal/ratelimit/registry_test.go
+++ b/internal/ratelimit/registry_test.go
@@ -33,9 +33,9 @@
 	return r
 }
 
-// answers records a response with a status and headers, given as names and values, to a request
+// respond records a response with a status and headers, given as names and values, to a request
 // written a millisecond ago.
-func (r *rig) answers(id string, status int, headers ...string) {
+func (r *rig) respond(id string, status int, headers ...string) {
 	r.now += time.Millisecond
 	header := http.Header{}
 	for i := 0; i < len(headers); i += 2 {
@@ -53,11 +53,11 @@
 	assert.NilError(t, r.Consume("a", nil))
 	for _, status := range []int{200, 202, 404, 409, 429, 500, 503} {
 		r := newRig()
-		r.answers("a", status, names.Limit, "1")
+		r.respond("a", status, names.Limit, "1")
 		assert.ErrorIs(t, r.Check("a", nil), ErrNoPermit, "%d", status)
 		assert.NilError(t, r.Check("b", nil), "another start")
 	}
-	r.answers("a", 200, names.Limit, "1")
+	r.respond("a", 200, names.Limit, "1")
 	permit := r.permit("a", 7)
 	assert.NilError(t, r.Check("a", permit))
 	assert.NilError(t, r.Consume("a", permit))
@@ -66,7 +66,7 @@
 	old := r.permit("a", 9)
 	r.now += PermitTTL
 	assert.ErrorIs(t, r.Consume("a", old), ErrNoPermit, "expired")
-	r.answers("a", 200)
+	r.respond("a", 200)
 	assert.NilError(t, r.Consume("a", nil))
 	assert.Equal(t, r.LimitedCount(), 0)
 	for _, line := range []string{"back end set a limit", "back end removed its limit"} {
@@ -76,20 +76,20 @@
 
 // An invalid limit leaves the current one in force and is logged once a second.
 func TestInvalidLimitIsIgnored(t *testing.T) {
-	for _, figure := range []string{"-1", "NaN", "Inf", "1e300", "", "  ", "1,5", "some"} {
+	for _, value := range []string{"-1", "NaN", "Inf", "1e300", "", "  ", "1,5", "some"} {
 		r := newRig()
 		for range 100 {
-			r.answers("a", 200, names.Limit, figure)
+			r.respond("a", 200, names.Limit, value)
 		}
-		assert.NilError(t, r.Check("a", nil), figure)
-		assert.Equal(t, strings.Count(r.log.String(), "invalid limit header ignored"), 1, figure)
-		r.answers("a", 200, names.Limit, "2")
-		r.answers("a", 200, names.Limit, figure)
-		r.answers("a", 503, names.Limit, "1", names.Limit, "9")
-		assert.ErrorIs(t, r.Check("a", nil), ErrNoPermit, figure)
+		assert.NilError(t, r.Check("a", nil), value)
+		assert.Equal(t, strings.Count(r.log.String(), "invalid limit header ignored"), 1, value)
+		r.respond("a", 200, names.Limit, "2")
+		r.respond("a", 200, names.Limit, value)
+		r.respond("a", 503, names.Limit, "1", names.Limit, "9")
+		assert.ErrorIs(t, r.Check("a", nil), ErrNoPermit, value)
 		r.TakeUnreported()
 		r.ReportAgain()
-		assert.Equal(t, r.TakeUnreported()[0].Rate, 2.0, figure)
+		assert.Equal(t, r.TakeUnreported()[0].Rate, 2.0, value)
 	}
 }
 
@@ -98,7 +98,7 @@
 func TestChangingRatesAreLoggedSparingly(t *testing.T) {
 	r := newRig()
 	for i := range 500 {
-		r.answers("a", 200, names.Limit, fmt.Sprintf("%d.5", 1+i%7))
+		r.respond("a", 200, names.Limit, fmt.Sprintf("%d.5", 1+i%7))
 	}
 	assert.Equal(t, r.TakeUnreported()[0].Rate, 1.5+float64(499%7))
 	assert.Assert(t, strings.Count(r.log.String(), "backend=a") <= maxLogLines, "%s", r.log.String())
@@ -107,22 +107,22 @@
 // A response with status 421 may come from another start at the address.
 func TestLimitOfAnotherStartIsIgnored(t *testing.T) {
 	r := newRig()
-	r.answers("a", 421, names.Limit, "1", names.InstanceIs, "b")
+	r.respond("a", 421, names.Limit, "1", names.InstanceIs, "b")
 	assert.NilError(t, r.Check("a", nil))
-	r.answers("a", 200, names.Limit, "1")
-	r.answers("a", 421)
+	r.respond("a", 200, names.Limit, "1")
+	r.respond("a", 421)
 	assert.ErrorIs(t, r.Check("a", nil), ErrNoPermit)
-	r.answers("a", 421, names.InstanceIs, "a")
+	r.respond("a", 421, names.InstanceIs, "a")
 	assert.NilError(t, r.Check("a", nil))
 	// The start that answered an order may be unknown.
-	r.answers("", 200, names.Limit, "1")
+	r.respond("", 200, names.Limit, "1")
 	assert.NilError(t, r.Check("", nil))
 }
 
 // A permit is released at most once and never after its use, under races too.
 func TestPermitIsConsumedOrReleasedOnce(t *testing.T) {
 	r := newRig()
-	r.answers("a", 200, names.Limit, "1")
+	r.respond("a", 200, names.Limit, "1")
 	used := r.permit("a", 1)
 	assert.NilError(t, r.Consume("a", used))
 	r.Release(used)
@@ -155,10 +155,10 @@
 
 func TestLimitsAreReportedOnceToEachLeader(t *testing.T) {
 	r := newRig()
-	r.answers("a", 200, names.Limit, "1")
-	r.answers("a", 200, names.Limit, "1")
-	r.answers("b", 200, names.Limit, "2")
-	r.answers("b", 200)
+	r.respond("a", 200, names.Limit, "1")
+	r.respond("a", 200, names.Limit, "1")
+	r.respond("b", 200, names.Limit, "2")
+	r.respond("b", 200)
 	r.now += time.Second
 	reported := map[coordapi.BackendID]coordapi.LimitWord{}
 	for _, report := range r.TakeUnreported() {
@@ -183,7 +183,7 @@
 	r.SetAnnounced([]coordapi.BackendID{"a"})
 	assert.ErrorIs(t, r.Check("a", nil), ErrNoPermit)
 	assert.Equal(t, r.LimitedCount(), 1)
-	r.answers("b", 200, names.Limit, "1")
+	r.respond("b", 200, names.Limit, "1")
 	r.SetAnnounced(nil)
 	assert.NilError(t, r.Check("a", nil))
 	assert.ErrorIs(t, r.Check("b", nil), ErrNoPermit, "observed here")
@@ -192,7 +192,7 @@
 func TestRegistryStateIsBounded(t *testing.T) {
 	r := newRig()
 	for i := range 3 * maxBackends {
-		r.answers(fmt.Sprint(i), 200, names.Limit, "1")
+		r.respond(fmt.Sprint(i), 200, names.Limit, "1")
 	}
 	assert.Assert(t, len(r.backends) <= maxBackends && len(r.backends) >= maxBackends/2, "%d", len(r.backends))
 	assert.ErrorIs(t, r.Check(coordapi.BackendID(fmt.Sprint(3*maxBackends-1)), nil), ErrNoPermit)
