--- a/internal/follower/evidence.go
+++ b/internal/follower/evidence.go
@@ -11,41 +11,42 @@
 )
 
 const (
-	// unsureRetention is how long attempts whose back end still listened, or is not known to
-	// have ended, are reported to a new leader. A leader that did not observe the back end then
-	// cannot determine whether it survived. All others are reported for poison.EvidenceTime.
+	// unsureRetention is how long failed attempts whose back end still listened, or is not known
+	// to have crashed, are reported to a new leader. A leader that did not observe the back end
+	// then cannot determine whether it survived. All others are reported for
+	// poison.EvidenceTime.
 	unsureRetention = 30 * time.Second
-	// maxEvidence bounds the attempts kept. The oldest are dropped.
+	// maxEvidence bounds the failed attempts kept. The oldest are dropped.
 	maxEvidence = 1024
-	// maxAnswered bounds the answered suspects between two reports.
+	// maxAnswered bounds the answered suspects between two updates.
 	maxAnswered = 64
 )
 
-// evidence is a router's side of detecting poison requests: the attempts it has seen, until each
+// evidence is a router's side of detecting poison requests: its failed attempts, until each
 // leader has them, and the findings of the coordinators. It is safe for concurrent use.
 type evidence struct {
 	// blocked and suspects are the latest from the coordinators.
 	blocked  atomic.Pointer[map[poison.Digest]state.BlockedRequest]
 	suspects atomic.Pointer[map[poison.Digest]struct{}]
-	// reportNow wakes RunReports.
-	reportNow chan struct{}
+	// updateNow wakes RunReports.
+	updateNow chan struct{}
 
-	mu        sync.Mutex
-	sightings []sighting
-	answered  map[poison.Digest]struct{}
+	mu       sync.Mutex
+	attempts []failedAttempt
+	answered map[poison.Digest]struct{}
 	// leadership is the one that is followed.
 	leadership string
 }
 
-// sighting is an attempt that ended, with the leadership it was reported to.
-type sighting struct {
+// failedAttempt is a failed attempt with the leadership it was reported to.
+type failedAttempt struct {
 	poison.Ending
 	at         time.Duration
 	reportedTo string
 }
 
 func (e *evidence) init() {
-	e.reportNow = make(chan struct{}, 1)
+	e.updateNow = make(chan struct{}, 1)
 	e.answered = map[poison.Digest]struct{}{}
 	e.blocked.Store(&map[poison.Digest]state.BlockedRequest{})
 	e.suspects.Store(&map[poison.Digest]struct{}{})
@@ -71,26 +72,26 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leadership = leadership
-	if len(e.sightings) > 0 && e.sightings[len(e.sightings)-1].reportedTo != leadership {
+	if len(e.attempts) > 0 && e.attempts[len(e.attempts)-1].reportedTo != leadership {
 		e.wake()
 	}
 }
 
-// add records an attempt that ended, and has it reported at once: the request may be sent again
+// add records a failed attempt and has it reported at once, since the request may be retried
 // within a tenth of a second.
-func (e *evidence) add(now time.Duration, ended poison.Ending) {
+func (e *evidence) add(now time.Duration, attempt poison.Ending) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.sightings) >= maxEvidence {
-		e.sightings = append(e.sightings[:0], e.sightings[maxEvidence/4:]...)
+	if len(e.attempts) >= maxEvidence {
+		e.attempts = append(e.attempts[:0], e.attempts[maxEvidence/4:]...)
 	}
-	e.sightings = append(e.sightings, sighting{Ending: ended, at: now})
+	e.attempts = append(e.attempts, failedAttempt{Ending: attempt, at: now})
 	e.wake()
 }
 
 func (e *evidence) wake() {
 	select {
-	case e.reportNow <- struct{}{}:
+	case e.updateNow <- struct{}{}:
 	default:
 	}
 }
@@ -112,11 +113,11 @@
 func (e *evidence) take(now time.Duration, reports *coordapi.Reports) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for len(e.sightings) > 0 && now-e.sightings[0].at > poison.EvidenceTime {
-		e.sightings = e.sightings[1:]
+	for len(e.attempts) > 0 && now-e.attempts[0].at > poison.EvidenceTime {
+		e.attempts = e.attempts[1:]
 	}
-	for i := range e.sightings {
-		s := &e.sightings[i]
+	for i := range e.attempts {
+		s := &e.attempts[i]
 		if s.reportedTo == e.leadership {
 			continue
 		}
@@ -124,9 +125,9 @@
 		if !s.Down && now-s.at > unsureRetention {
 			continue
 		}
-		ended := s.Ending
-		ended.Age = now - s.at
-		reports.Endings = append(reports.Endings, ended)
+		attempt := s.Ending
+		attempt.Age = now - s.at
+		reports.Endings = append(reports.Endings, attempt)
 	}
 	for d := range e.answered {
 		reports.Answered = append(reports.Answered, d)
@@ -138,9 +139,9 @@
 func (e *evidence) requeue(reports *coordapi.Reports) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, ended := range reports.Endings {
-		for i := range e.sightings {
-			if s := &e.sightings[i]; s.Backend == ended.Backend && s.Request == ended.Request {
+	for _, attempt := range reports.Endings {
+		for i := range e.attempts {
+			if s := &e.attempts[i]; s.Backend == attempt.Backend && s.Request == attempt.Request {
 				s.reportedTo = ""
 			}
 		}
@@ -156,8 +157,8 @@
 	return blocked, is
 }
 
-// Saw records an attempt that ended without a complete answer.
-func (f *Follower) Saw(ended poison.Ending) { f.evidence.add(f.now(), ended) }
+// Saw records an attempt that failed without a complete answer.
+func (f *Follower) Saw(attempt poison.Ending) { f.evidence.add(f.now(), attempt) }
 
 // Answered records that a request got a complete answer.
 func (f *Follower) Answered(d poison.Digest) { f.evidence.addAnswered(d) }
--- a/internal/follower/evidence_test.go
+++ b/internal/follower/evidence_test.go
@@ -18,28 +18,28 @@
 	return e
 }
 
-func (e *evidence) takeEndings(now time.Duration) []poison.Ending {
+func (e *evidence) takeFailed(now time.Duration) []poison.Ending {
 	var reports coordapi.Reports
 	e.take(now, &reports)
 	return reports.Endings
 }
 
-// Attempts are reported once to each leader, with their age at the time, and again if the report
-// was lost.
-func TestEndingsAreReportedToEachLeader(t *testing.T) {
+// Failed attempts are reported once to each leader, with their age at the time, and again if the
+// update was lost.
+func TestFailedAttemptsAreReportedToEachLeader(t *testing.T) {
 	e := newEvidence()
 	e.add(time.Second, poison.Ending{Backend: "a", Request: 7, Down: true})
-	assert.Equal(t, len(e.takeEndings(time.Second)), 0, "no leader yet")
+	assert.Equal(t, len(e.takeFailed(time.Second)), 0, "no leader yet")
 	e.follow("first-1", nil)
-	assert.DeepEqual(t, e.takeEndings(2*time.Second), []poison.Ending{{Backend: "a", Request: 7, Down: true, Age: time.Second}})
+	assert.DeepEqual(t, e.takeFailed(2*time.Second), []poison.Ending{{Backend: "a", Request: 7, Down: true, Age: time.Second}})
 	e.follow("first-2", nil)
-	assert.Equal(t, len(e.takeEndings(3*time.Second)), 0)
+	assert.Equal(t, len(e.takeFailed(3*time.Second)), 0)
 	e.requeue(&coordapi.Reports{Endings: []poison.Ending{{Backend: "a", Request: 7}}})
-	assert.Equal(t, len(e.takeEndings(3*time.Second)), 1)
+	assert.Equal(t, len(e.takeFailed(3*time.Second)), 1)
 	e.follow("second-1", nil)
-	assert.DeepEqual(t, e.takeEndings(5*time.Second), []poison.Ending{{Backend: "a", Request: 7, Down: true, Age: 4 * time.Second}})
+	assert.DeepEqual(t, e.takeFailed(5*time.Second), []poison.Ending{{Backend: "a", Request: 7, Down: true, Age: 4 * time.Second}})
 	e.follow("third-1", nil)
-	assert.Equal(t, len(e.takeEndings(2*time.Second+poison.EvidenceTime)), 0, "expired")
+	assert.Equal(t, len(e.takeFailed(2*time.Second+poison.EvidenceTime)), 0, "expired")
 }
 
 // A later leader cannot determine whether a back end survived that still listened.
@@ -47,9 +47,9 @@
 	e := newEvidence()
 	e.follow("first-1", nil)
 	e.add(time.Second, poison.Ending{Backend: "a", Request: 7})
-	assert.Equal(t, len(e.takeEndings(time.Second)), 1)
+	assert.Equal(t, len(e.takeFailed(time.Second)), 1)
 	e.follow("second-1", nil)
-	assert.Equal(t, len(e.takeEndings(2*time.Second+unsureRetention)), 0)
+	assert.Equal(t, len(e.takeFailed(2*time.Second+unsureRetention)), 0)
 }
 
 func TestAnsweredSuspectsAreReported(t *testing.T) {
@@ -73,9 +73,9 @@
 	for i := range 5 * maxEvidence {
 		e.add(time.Duration(i), poison.Ending{Backend: fmt.Sprint(i), Request: 7})
 	}
-	endings := e.takeEndings(time.Second)
-	assert.Assert(t, len(endings) <= maxEvidence)
-	assert.Equal(t, endings[len(endings)-1].Backend, fmt.Sprint(5*maxEvidence-1))
+	failed := e.takeFailed(time.Second)
+	assert.Assert(t, len(failed) <= maxEvidence)
+	assert.Equal(t, failed[len(failed)-1].Backend, fmt.Sprint(5*maxEvidence-1))
 }
 
 func TestFollowerAppliesBlockedRequests(t *testing.T) {
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -32,8 +32,8 @@
 	// firstWatchTimeout bounds the first watch of a leader, when all routers of a large
 	// deployment may request everything at once.
 	firstWatchTimeout = 4 * time.Second
-	// reportTimeout bounds the sending of a report.
-	reportTimeout = 500 * time.Millisecond
+	// updateTimeout bounds the sending of an update to the leader.
+	updateTimeout = 500 * time.Millisecond
 	retryDelay    = 60 * time.Millisecond
 	// preparation estimates how long the coordinators of a few hundred back ends take to recover
 	// after a loss of all machines, and preparationPerBackend what each back end adds: replicas
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -35,7 +35,7 @@
 type fakeLeader struct {
 	mu      sync.Mutex
 	reply   coordapi.Reply
-	reports int
+	updates int
 	address string
 	// placeRequests are the placements requested.
 	placeRequests []coordapi.Place
@@ -57,7 +57,7 @@
 		defer s.mu.Unlock()
 		var request coordapi.Request
 		if json.Unmarshal(body, &request) == nil && request.Tell != nil {
-			s.reports++
+			s.updates++
 		}
 		if request.Place != nil {
 			s.placeRequests = append(s.placeRequests, *request.Place)
@@ -107,7 +107,7 @@
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-func TestNoLeaseWithoutConfiguration(t *testing.T) {
+func TestFollowerHasNoLeaseWithoutConfiguration(t *testing.T) {
 	s := newFakeLeader(t)
 	s.setReply(coordapi.Reply{View: &coordapi.View{Revision: 1}})
 	f := follow(t, time.Minute, s.address)
@@ -170,7 +170,7 @@
 func (discardSaved) Learn([]uint64)  {}
 func (discardSaved) Fresh() []uint64 { return nil }
 
-// A router that was redirected to the leader must report its load there too.
+// A router that was redirected to the leader must send its updates there too.
 func TestRedirectedRouterReportsToLeader(t *testing.T) {
 	leader, other := newFakeLeader(t), newFakeLeader(t)
 	leader.setReply(view(2))
@@ -190,8 +190,8 @@
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		leader.mu.Lock()
 		defer leader.mu.Unlock()
-		if leader.reports == 0 {
-			return poll.Continue("no report at the leader")
+		if leader.updates == 0 {
+			return poll.Continue("the leader got no update")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(10*time.Millisecond))
--- a/internal/follower/place_test.go
+++ b/internal/follower/place_test.go
@@ -64,19 +64,19 @@
 	assert.Assert(t, answered)
 }
 
-func TestPlaceWithoutLeader(t *testing.T) {
+func TestPlaceSendsNothingWithoutLeader(t *testing.T) {
 	f := New(Config{Name: "r", Seeds: []string{"127.0.0.1:1"}, Pool: discardPool{}})
 	_, _, answered := f.Place(context.Background(), &backends.Query{Pool: "llm"})
 	assert.Assert(t, !answered)
 }
 
 // The period is bounded, else the loads and placements of a router would expire at the leader
-// between two reports.
-func TestReportPeriodIsBounded(t *testing.T) {
-	assert.Equal(t, reportPeriod(1), 53*time.Millisecond)
-	assert.Equal(t, reportPeriod(300), 950*time.Millisecond)
+// between two updates.
+func TestUpdatePeriodIsBounded(t *testing.T) {
+	assert.Equal(t, updatePeriod(1), 53*time.Millisecond)
+	assert.Equal(t, updatePeriod(300), 950*time.Millisecond)
 	for _, routers := range []int{400, 985, 2000, 10000} {
-		assert.Equal(t, reportPeriod(routers), maxReportInterval)
+		assert.Equal(t, updatePeriod(routers), maxUpdateInterval)
 	}
 }
 
--- a/internal/follower/report.go
+++ b/internal/follower/report.go
@@ -7,22 +7,22 @@
 	"quinceridge.example/quinceridge/internal/coordapi"
 )
 
-// The time between two reports is reportInterval plus reportIntervalPerRouter for each router of
-// the deployment, up to maxReportInterval. The leader relies on first events being reported
-// within about a second, and expires the work of a router without reports.
+// The time between two updates is updateInterval plus updateIntervalPerRouter for each router of
+// the deployment, up to maxUpdateInterval. The leader relies on first events being reported
+// within about a second, and expires the work of a router without updates.
 const (
-	reportInterval          = 50 * time.Millisecond
-	reportIntervalPerRouter = 3 * time.Millisecond
-	maxReportInterval       = time.Second
+	updateInterval          = 50 * time.Millisecond
+	updateIntervalPerRouter = 3 * time.Millisecond
+	maxUpdateInterval       = time.Second
 )
 
-// reportPeriod returns the time between two reports of one of many routers. A router with
+// updatePeriod returns the time between two updates of one of many routers. A router with
 // nothing to report skips its turn.
-func reportPeriod(routers int) time.Duration {
-	return min(reportInterval+reportIntervalPerRouter*time.Duration(routers), maxReportInterval)
+func updatePeriod(routers int) time.Duration {
+	return min(updateInterval+updateIntervalPerRouter*time.Duration(routers), maxUpdateInterval)
 }
 
-// RunReports sends the leader the router's load, newly saved prompt parts and other reports
+// RunReports sends the leader updates of the router's load, newly saved prompt parts and reports
 // until the context ends.
 func (f *Follower) RunReports(ctx context.Context) {
 	idle := false
@@ -30,26 +30,26 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(reportPeriod(f.Routers())):
-		case <-f.evidence.reportNow:
+		case <-time.After(updatePeriod(f.Routers())):
+		case <-f.evidence.updateNow:
 		}
 		leader := f.following.Load()
 		if leader == nil {
 			continue
 		}
-		report := &coordapi.Tell{Router: f.name, Saved: f.config.Saved.Fresh(), Loads: f.config.Pool.OwnLoads(), Refused: f.config.Pool.Refused(),
+		update := &coordapi.Tell{Router: f.name, Saved: f.config.Saved.Fresh(), Loads: f.config.Pool.OwnLoads(), Refused: f.config.Pool.Refused(),
 			Reports: f.takeReports()}
-		empty := report.Empty() && len(report.Saved) == 0 && len(report.Loads) == 0 && report.Refused == 0
+		empty := update.Empty() && len(update.Saved) == 0 && len(update.Loads) == 0 && update.Refused == 0
 		if empty && idle {
 			continue
 		}
 		idle = empty
-		call, cancel := context.WithTimeout(ctx, reportTimeout)
+		call, cancel := context.WithTimeout(ctx, updateTimeout)
 		var reply coordapi.Reply
-		err := f.config.Peers.Call(call, *leader, coordapi.KindCall, coordapi.Request{Tell: report}, &reply)
+		err := f.config.Peers.Call(call, *leader, coordapi.KindCall, coordapi.Request{Tell: update}, &reply)
 		if err != nil || reply.NotLeader {
-			// Reports must arrive; everything else is sent anew each time.
-			f.requeue(&report.Reports)
+			// Reports must arrive; everything else is sent anew with each update.
+			f.requeue(&update.Reports)
 		}
 		cancel()
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -85,7 +85,7 @@
 
 // At 0.8 of its rate a tenant with a second's burst is never refused. Nearer to the rate, random
 // arrivals alone exceed the burst.
-func TestNoRefusalBelowLimit(t *testing.T) {
+func TestLimiterAdmitsAllBelowLimit(t *testing.T) {
 	limiter := NewLimiter(tolerance)
 	limiter.SetLimits(0, map[string]Limit{"a": {Rate: 100_000, Burst: 100_000}})
 	small, large := simulate(limiter, rand.New(rand.NewPCG(1, 1)), 2*time.Second, 2000*time.Second, 80_000)
@@ -120,7 +120,7 @@
 	})
 }
 
-func TestSizesHaveSameChanceAboveLimit(t *testing.T) {
+func TestLimiterTreatsSizesAlikeAboveLimit(t *testing.T) {
 	limiter := NewLimiter(tolerance)
 	limiter.SetLimits(0, map[string]Limit{"a": {Rate: 100_000, Burst: 100_000}})
 	small, large := simulate(limiter, rand.New(rand.NewPCG(1, 2)), 0, 200*time.Second, 200_000)
