--- a/internal/follower/report.go
+++ b/internal/follower/report.go
@@ -7,51 +7,49 @@
 	"quinceridge.example/quinceridge/internal/coordapi"
 )
 
-// tellEvery is the time between two words to the leader, and tellStep what
-// each router of the deployment adds to it, up to tellLimit: the leader takes it that
-// first events are reported within a second, and forgets what a router has under way
-// when it hears nothing of it for some. With 985 routers and no limit a router told
-// every 3 s, and nothing that it told was in force when it told next.
+// The time between two updates is updateInterval plus updateIntervalPerRouter for each router of
+// the deployment, up to maxUpdateInterval. The leader relies on first events being reported
+// within about a second, and expires the work of a router without updates.
 const (
-	tellEvery = 50 * time.Millisecond
-	tellStep  = 3 * time.Millisecond
-	tellLimit = time.Second
+	updateInterval          = 50 * time.Millisecond
+	updateIntervalPerRouter = 3 * time.Millisecond
+	maxUpdateInterval       = time.Second
 )
 
-// tellPeriod is the time between two words of one router among many. A router that has
-// nothing to say skips its turn.
-func tellPeriod(routers int) time.Duration {
-	return min(tellEvery+tellStep*time.Duration(routers), tellLimit)
+// updatePeriod returns the time between two updates of one of many routers. A router with
+// nothing to report skips its turn.
+func updatePeriod(routers int) time.Duration {
+	return min(updateInterval+updateIntervalPerRouter*time.Duration(routers), maxUpdateInterval)
 }
 
-// Update brings the leader the router's load and newly saved prompt parts until
-// the context ends.
+// Update sends the leader updates of the router's load, newly saved prompt parts and reports
+// until the context ends.
 func (f *Follower) Update(ctx context.Context) {
 	idle := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(tellPeriod(f.Routers())):
-		case <-f.evidence.urgent:
+		case <-time.After(updatePeriod(f.Routers())):
+		case <-f.evidence.updateNow:
 		}
 		leader := f.following.Load()
 		if leader == nil {
 			continue
 		}
-		news := &coordapi.Update{Router: f.name, Saved: f.config.Saved.TakeNew(), Loads: f.config.Pool.OwnLoads(), Refused: f.config.Pool.Refused(),
-			Reports: f.reports()}
-		quiet := news.Empty() && len(news.Saved) == 0 && len(news.Loads) == 0 && news.Refused == 0
-		if quiet && idle {
+		update := &coordapi.Update{Router: f.name, Saved: f.config.Saved.TakeNew(), Loads: f.config.Pool.OwnLoads(), Refused: f.config.Pool.Refused(),
+			Reports: f.takeReports()}
+		empty := update.Empty() && len(update.Saved) == 0 && len(update.Loads) == 0 && update.Refused == 0
+		if empty && idle {
 			continue
 		}
-		idle = quiet
-		call, cancel := context.WithTimeout(ctx, tellTimeout)
+		idle = empty
+		call, cancel := context.WithTimeout(ctx, updateTimeout)
 		var reply coordapi.Reply
-		err := f.config.Peers.Call(call, *leader, coordapi.KindCall, coordapi.Request{Update: news}, &reply)
+		err := f.config.Peers.Call(call, *leader, coordapi.KindCall, coordapi.Request{Update: update}, &reply)
 		if err != nil || reply.NotLeader {
-			// Reports must arrive, all else is told anew.
-			f.keep(&news.Reports)
+			// Reports must arrive; everything else is sent anew with each update.
+			f.requeue(&update.Reports)
 		}
 		cancel()
 	}
