--- a/internal/coordinator/starts.go
+++ b/internal/coordinator/starts.go
@@ -7,44 +7,45 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// maxLeft bounds how many starts are remembered that said they leave before they were
-// known, 60 B each.
-const maxLeft = 1024
+// maxEarlyLeaves bounds the number of starts that are remembered because they left before their
+// first heartbeat, about 60 B each.
+const maxEarlyLeaves = 1024
 
-// startIs is what a word of a back end's start is to the one that is known.
-type startIs int
+// startRelation relates the start that a message names to the latest known start of the back end.
+// A start is one run of a back end's process, identified by name and start time.
+type startRelation int
 
 const (
-	// present: the start that is known, or the first.
-	present startIs = iota
-	// newer: the back end has started again.
-	newer
-	// older: a start before the known one, or one that is gone. Its word is late, or two
-	// processes have one name; either way it changes nothing.
-	older
+	// currentStart is the latest known start, or the first one.
+	currentStart startRelation = iota
+	// newerStart means that the back end has been restarted.
+	newerStart
+	// olderStart is a start before the latest known one, or a departed one. The message is late,
+	// or two processes have the same name; it is ignored.
+	olderStart
 )
 
-// judge tells which start a word is of. A start that says it is older than the known one
-// is taken for newer once that one is silent: its clock may have been set back.
-func (s *Server) judge(now time.Duration, d *state.Deployment, start state.Start) startIs {
+// compareStart relates a start to the latest known one. A start with an earlier start time counts
+// as newer once the latest known one is silent, because the clock may have been set back.
+func (s *Server) compareStart(now time.Duration, d *state.Deployment, start state.Start) startRelation {
 	if d.IsGone(start) {
-		return older
+		return olderStart
 	}
-	known, is := s.present(d, start.Name)
+	known, is := s.currentStart(d, start.Name)
 	switch {
 	case !is || start.Same(known):
-		return present
+		return currentStart
 	case start.After(known):
-		return newer
-	case s.soft.quiet(now, d.IDOf(known)) > silentLimit(s.settings.BackendHeartbeat):
-		return newer
+		return newerStart
+	case s.soft.silentFor(now, d.IDOf(known)) > silentLimit(s.settings.BackendHeartbeat):
+		return newerStart
 	}
-	return older
+	return olderStart
 }
 
-// present is the start of a back end that was heard of last, whether its row is committed
-// or not.
-func (s *Server) present(d *state.Deployment, name string) (state.Start, bool) {
+// currentStart returns the start of a back end that sent the last heartbeat, or else that of its
+// committed row.
+func (s *Server) currentStart(d *state.Deployment, name string) (state.Start, bool) {
 	if start, heard := s.soft.starts[name]; heard {
 		return start, true
 	}
@@ -55,56 +56,57 @@
 	return row.Start(), true
 }
 
-// rowFor gives a word of a back end the ID of its start's row. It returns false if the
-// word is of an older start.
-func (s *Server) rowFor(now time.Duration, start state.Start) (id string, counts bool) {
+// rowIDFor returns the row ID of the start that a message names, or false if that is an older
+// start.
+func (s *Server) rowIDFor(now time.Duration, start state.Start) (id string, counts bool) {
 	d := s.core.Machine().Deployment()
-	verdict := s.judge(now, d, start)
-	if verdict == older {
-		s.noteOlder(start)
+	verdict := s.compareStart(now, d, start)
+	if verdict == olderStart {
+		s.logOlderStart(start)
 		return "", false
 	}
-	if known, is := s.present(d, start.Name); is && start.Born == 0 {
-		// Who does not say when it started is taken for the start that is known.
+	if known, is := s.currentStart(d, start.Name); is && start.Born == 0 {
+		// A message without a start time is attributed to the known start.
 		start = known
 	}
 	return d.IDOf(start), true
 }
 
-// noteStart takes a start for the present one of its back end, whose row has an ID.
-func (s *Server) noteStart(start state.Start, id string) {
+// recordStart makes a start the latest one of its back end; id is the ID of its row.
+func (s *Server) recordStart(start state.Start, id string) {
 	d := s.core.Machine().Deployment()
-	known, is := s.present(d, start.Name)
+	known, is := s.currentStart(d, start.Name)
 	if is && start.Born == 0 {
 		return
 	}
 	if is && !start.Same(known) {
-		s.logger.Info("back end started again", "part", "registry", "backend", id, "before", d.IDOf(known), "born", start.Born, "born_before", known.Born)
+		s.logger.Info("back end restarted", "part", "registry", "backend", id, "before", d.IDOf(known), "born", start.Born, "born_before", known.Born)
 	}
 	s.soft.starts[start.Name] = start
 }
 
-// noteOlder says once of each back end that a start before its present one speaks.
-func (s *Server) noteOlder(start state.Start) {
-	if s.soft.olderNoted[start.Name] == start.Born {
+// logOlderStart logs that an older start still sends messages, unless it was the last one logged
+// for that name.
+func (s *Server) logOlderStart(start state.Start) {
+	if s.soft.loggedOlder[start.Name] == start.Born {
 		return
 	}
-	s.soft.olderNoted[start.Name] = start.Born
+	s.soft.loggedOlder[start.Name] = start.Born
 	present := s.soft.starts[start.Name]
-	s.logger.Warn("a start before the present one speaks", "part", "registry", "backend", start.Name, "born", start.Born, "present", present.Born)
+	s.logger.Warn("ignoring message of an older start", "part", "registry", "backend", start.Name, "born", start.Born, "present", present.Born)
 }
 
-// leaveEarly remembers that a start leaves which is not known: its first heartbeat may be
-// slower than its word that it leaves.
-func (s *Server) leaveEarly(start state.Start) {
-	if start.Born != 0 && len(s.soft.leftEarly) < maxLeft {
+// recordEarlyLeave records that an unknown start leaves, because its first heartbeat may arrive
+// later than that.
+func (s *Server) recordEarlyLeave(start state.Start) {
+	if start.Born != 0 && len(s.soft.leftEarly) < maxEarlyLeaves {
 		s.soft.leftEarly[start] = struct{}{}
 	}
 }
 
-// departSuperseded removes the rows of back ends that have started again since.
-func (s *Server) departSuperseded(now time.Duration, d *state.Deployment) {
-	if now < s.soft.departedAt+silenceEvery || !s.core.HoldsLease(now) {
+// removeSuperseded proposes to remove the rows of starts that a later start has superseded.
+func (s *Server) removeSuperseded(now time.Duration, d *state.Deployment) {
+	if now < s.soft.departedAt+silenceCheckInterval || !s.core.HoldsLease(now) {
 		return
 	}
 	ids := d.Superseded()
@@ -112,13 +114,13 @@
 		return
 	}
 	s.soft.departedAt = now
-	s.logger.Info("earlier starts removed", "part", "registry", "count", len(ids), "backends", firstOf(ids))
+	s.logger.Info("removing superseded starts", "part", "registry", "count", len(ids), "backends", truncateIDs(ids))
 	s.propose(now, "registry", state.Command{Depart: &state.Depart{IDs: ids}})
 }
 
-// answersAs tells whether a heartbeat is of the present start for all that a replica
-// knows, and gives it the ID of that one's row.
-func answersAs(d *state.Deployment, b *coordapi.Beat) bool {
+// matchCurrentStart reports whether a heartbeat is of the current start according to a replica.
+// If so, it sets the row ID and the instance in the heartbeat.
+func matchCurrentStart(d *state.Deployment, b *coordapi.Beat) bool {
 	row, known := d.Current(b.Backend.Name())
 	if !known || row.Born != b.Backend.Born {
 		return false
@@ -127,15 +129,15 @@
 	return true
 }
 
-// forgetStarts drops the starts of back ends that have no row any more, once they are many.
+// forgetStarts removes the starts of back ends without a row, once there are many.
 func (t *softState) forgetStarts(d *state.Deployment) {
-	if len(t.starts) <= 2*len(d.Backends)+spareHolders {
+	if len(t.starts) <= 2*len(d.Backends)+minKeptHolders {
 		return
 	}
 	for name := range t.starts {
 		if _, known := d.Current(name); !known {
 			delete(t.starts, name)
-			delete(t.olderNoted, name)
+			delete(t.loggedOlder, name)
 		}
 	}
 }
--- a/internal/coordinator/step.go
+++ b/internal/coordinator/step.go
@@ -9,120 +9,119 @@
 )
 
 const (
-	// enginesPerShard is about how many engines a router is told of at most. It chooses
-	// among them while the leader gives no answer: 512 are many more than it has requests
-	// under way, and a first view of them stays below 20 KB.
+	// enginesPerShard is the approximate maximum number of engines in the views of a router.
+	// Routers choose among them while the leader does not answer. It bounds the size of a full
+	// view.
 	enginesPerShard = 512
-	// shardSlack is the part of enginesPerShard below which shards are merged again, so
-	// that a few back ends that come and go change nothing.
-	shardSlack = 0.75
-	// stepPerRouter is the time between two steps for each router that follows: with it
-	// the leader makes at most 2,000 views a second for changes of rows, however many
-	// routers there are.
-	stepPerRouter = 500 * time.Microsecond
+	// shardMergeRatio is the fraction of enginesPerShard below which shards are merged. It is
+	// below 1 so that single back ends that come and go do not change the number of shards.
+	shardMergeRatio = 0.75
+	// broadcastIntervalPerRouter is the minimum time between two broadcast revisions for each
+	// watching router. It limits the leader to 2,000 views a second for changes of rows.
+	broadcastIntervalPerRouter = 500 * time.Microsecond
 )
 
-// shardCount returns into how many shards a number of engines is divided, given the
-// present count.
+// shardCount returns the number of shards for a number of engines, given the present number of
+// shards.
 func shardCount(engines, present int) int {
 	count := max(present, 1)
 	for engines > count*enginesPerShard {
 		count *= 2
 	}
-	for count > 1 && float64(engines) <= shardSlack*float64(count/2*enginesPerShard) {
+	for count > 1 && float64(engines) <= shardMergeRatio*float64(count/2*enginesPerShard) {
 		count /= 2
 	}
 	return count
 }
 
-// step is a revision of the replicated state of which routers are told. All views until
-// the next step are of this one, so that what many of them lack is found and packed
-// once. The configuration and blocked requests make a step of their own at once; rows
-// that change wait for the next. It belongs to the run goroutine.
-type step struct {
+// broadcast is the revision of the replicated state that all views contain until the next one is
+// broadcast, so that the changes since an earlier revision are computed and packed once for all
+// routers. Changes of the configuration and of blocked requests are broadcast at once, changes of
+// rows after an interval. It belongs to the run goroutine.
+type broadcast struct {
 	revision uint64
 	at       time.Duration
-	// plainAt is the revision at which back ends without engines changed last, and
-	// shardsAt the same for the engines of each shard.
-	plainAt  uint64
-	shardsAt []uint64
-	// members are the addresses of the coordinators, and membersAt the revision at which
-	// they changed last.
-	members   []string
-	membersAt uint64
-	// deltas are what changed, by the revision since when.
+	// plainRevision is the revision at which plain back ends, which are not engines, last
+	// changed, and shardRevisions the same for the engines of each shard.
+	plainRevision  uint64
+	shardRevisions []uint64
+	// members are the addresses of the coordinators, and membersRevision the revision at which
+	// they last changed.
+	members         []string
+	membersRevision uint64
+	// deltas caches changes by the revision since which they were made.
 	deltas map[uint64]*delta
-	// document is the packed configuration of the revision documentAt.
-	document   []byte
-	documentAt uint64
+	// document is the packed configuration of revision documentRevision.
+	document         []byte
+	documentRevision uint64
 }
 
-// shards is how many there are.
-func (t *step) shards() int { return len(t.shardsAt) }
+// shards returns the number of shards.
+func (t *broadcast) shards() int { return len(t.shardRevisions) }
 
-// follow takes the members of the group.
-func (t *step) follow(members []string) {
+// setMembers sets the addresses of the coordinators.
+func (t *broadcast) setMembers(members []string) {
 	if !slices.Equal(members, t.members) {
-		t.members, t.membersAt = members, t.revision
+		t.members, t.membersRevision = members, t.revision
 	}
 }
 
-// changedFor is the revision at which something that concerns a shard changed last.
-func (t *step) changedFor(d *state.Deployment, shard coordapi.Shard) uint64 {
-	return max(d.ConfiguredAt, d.BlockedAt, t.plainAt, t.shardsAt[shard.Index])
+// lastChange returns the revision of the last change that concerns a shard.
+func (t *broadcast) lastChange(d *state.Deployment, shard coordapi.Shard) uint64 {
+	return max(d.ConfiguredAt, d.BlockedAt, t.plainRevision, t.shardRevisions[shard.Index])
 }
 
-// urgent tells whether the configuration or the blocked requests have changed, which no
-// router may hear of late.
-func (t *step) urgent(d *state.Deployment) bool {
+// urgent reports whether the configuration or the blocked requests have changed, which is
+// broadcast at once.
+func (t *broadcast) urgent(d *state.Deployment) bool {
 	return max(d.ConfiguredAt, d.BlockedAt) > t.revision
 }
 
-// due tells whether a next step is, for a number of routers that follow.
-func (t *step) due(now time.Duration, d *state.Deployment, routers int) bool {
-	return t.urgent(d) || (d.BackendsAt > t.revision && now >= t.at+time.Duration(routers)*stepPerRouter)
+// due reports whether the next revision is to be broadcast, given the number of watching routers.
+func (t *broadcast) due(now time.Duration, d *state.Deployment, routers int) bool {
+	return t.urgent(d) || (d.BackendsAt > t.revision && now >= t.at+time.Duration(routers)*broadcastIntervalPerRouter)
 }
 
-// next moves on to a revision. It returns the shards whose routers have news, and whether
-// all have.
-func (t *step) next(now time.Duration, revision uint64, d *state.Deployment) (changed []int, all bool) {
+// advance moves on to a revision. It returns the shards whose routers have news, and whether all
+// routers have.
+func (t *broadcast) advance(now time.Duration, revision uint64, d *state.Deployment) (changed []int, all bool) {
 	before, urgent := t.revision, t.urgent(d)
 	t.revision, t.at, t.deltas = revision, now, map[uint64]*delta{}
 	if count := shardCount(d.Engines(), t.shards()); count != t.shards() {
-		t.shardsAt = slices.Repeat([]uint64{revision}, count)
-		t.plainAt = revision
+		t.shardRevisions = slices.Repeat([]uint64{revision}, count)
+		t.plainRevision = revision
 		return nil, true
 	}
 	if d.BackendsAt <= before {
 		return nil, urgent
 	}
 	if !d.Remembers(before) {
-		t.plainAt = revision
+		t.plainRevision = revision
 		return nil, true
 	}
 	news := t.since(d, before)
-	for shard := range t.shardsAt {
+	for shard := range t.shardRevisions {
 		if !news.shards[shard].empty() {
-			t.shardsAt[shard] = revision
+			t.shardRevisions[shard] = revision
 			changed = append(changed, shard)
 		}
 	}
 	if !news.plain.empty() {
-		t.plainAt = revision
+		t.plainRevision = revision
 		return changed, true
 	}
 	return changed, urgent
 }
 
-// delta is what changed since a revision, all that is there for revision 0: of back ends
-// without engines, and of the engines of each shard.
+// delta is what changed since a revision, or everything if that is 0: plain back ends, and the
+// engines of each shard.
 type delta struct {
 	plain  changes
 	shards []changes
 }
 
-// changes are rows that changed and back ends that departed. Packed are the rows that
-// concern a shard, where they are many, and whole is a packed Whole.
+// changes are changed rows and the IDs of removed ones. packed caches the packed rows that
+// concern a shard, and whole a packed coordapi.Whole.
 type changes struct {
 	rows          []state.Backend
 	gone          []string
@@ -131,8 +130,8 @@
 
 func (c *changes) empty() bool { return len(c.rows)+len(c.gone) == 0 }
 
-// of returns where a back end's changes stand.
-func (n *delta) of(engine bool, id string) *changes {
+// changesFor returns the changes to which a back end belongs.
+func (n *delta) changesFor(engine bool, id string) *changes {
 	if !engine {
 		return &n.plain
 	}
@@ -140,37 +139,37 @@
 }
 
 // since returns what changed after a revision.
-func (t *step) since(d *state.Deployment, revision uint64) *delta {
+func (t *broadcast) since(d *state.Deployment, revision uint64) *delta {
 	if known := t.deltas[revision]; known != nil {
 		return known
 	}
 	news := &delta{shards: make([]changes, t.shards())}
 	rows, gone := d.Changed(revision)
 	for _, b := range rows {
-		c := news.of(b.IsEngine(), b.ID)
+		c := news.changesFor(b.IsEngine(), b.ID)
 		c.rows = append(c.rows, b)
 	}
 	for _, departure := range gone {
-		c := news.of(departure.Engine, departure.ID)
+		c := news.changesFor(departure.Engine, departure.ID)
 		c.gone = append(c.gone, departure.ID)
 	}
 	t.deltas[revision] = news
 	return news
 }
 
-// rows are the rows that concern a shard.
+// rows returns the changed rows that concern a shard.
 func (n *delta) rows(shard int) []state.Backend {
 	return slices.Concat(n.plain.rows, n.shards[shard].rows)
 }
 
-// fill puts what a watcher lacks since a revision into its view.
-func (t *step) fill(v *coordapi.View, d *state.Deployment, since uint64) {
+// fillChanges adds to a view what changed since a revision.
+func (t *broadcast) fillChanges(v *coordapi.View, d *state.Deployment, since uint64) {
 	news := t.since(d, since)
 	mine := &news.shards[v.Shard.Index]
 	v.Departed = slices.Concat(news.plain.gone, mine.gone)
 	if mine.packed != nil {
 		v.PackedBackends = mine.packed
-	} else if rows := news.rows(v.Shard.Index); len(rows) < packRowsFrom {
+	} else if rows := news.rows(v.Shard.Index); len(rows) < minPackedRows {
 		v.Backends = rows
 	} else {
 		// Encoding into memory cannot fail.
@@ -185,29 +184,27 @@
 	}
 }
 
-// packRowsFrom is how many rows are packed. All routers of a shard lack the same ones when
-// back ends start, and six take a third packed of what they take as text.
-const packRowsFrom = 6
+// minPackedRows is the number of rows from which they are packed.
+const minPackedRows = 6
 
-// packDocumentFrom is the size from which a configuration is packed, once for all
-// routers; what fits into two packets of a network is not worth the second form.
-const packDocumentFrom = 2 << 10
+// minPackedDocument is the size in bytes from which a configuration is packed.
+const minPackedDocument = 2 << 10
 
-func (t *step) fillDocument(v *coordapi.View, d *state.Deployment) {
-	if len(d.Document) < packDocumentFrom {
+func (t *broadcast) fillDocument(v *coordapi.View, d *state.Deployment) {
+	if len(d.Document) < minPackedDocument {
 		v.Document = d.Document
 		return
 	}
-	if t.documentAt != d.ConfiguredAt {
+	if t.documentRevision != d.ConfiguredAt {
 		// Encoding into memory cannot fail.
 		t.document, _ = coordapi.Pack(d.Document)
-		t.documentAt = d.ConfiguredAt
+		t.documentRevision = d.ConfiguredAt
 	}
 	v.PackedDocument = t.document
 }
 
-// fillWhole puts all that a router must know into its view.
-func (t *step) fillWhole(v *coordapi.View, d *state.Deployment) {
+// fillFull adds the whole state that a router needs to a view.
+func (t *broadcast) fillFull(v *coordapi.View, d *state.Deployment) {
 	all := t.since(d, 0)
 	mine := &all.shards[v.Shard.Index]
 	if mine.whole == nil {
--- a/internal/coordinator/suspend_test.go
+++ b/internal/coordinator/suspend_test.go
@@ -11,10 +11,9 @@
 	"quinceridge.example/quinceridge/internal/quota"
 )
 
-// A leader that was suspended and took its lease for as young as before answered reads,
-// renewed the rights of routers and counted limits, beside the leader that the others
-// had elected.
-func TestASuspendedLeaderHoldsItsLeaseNoMore(t *testing.T) {
+// Guards against a suspended leader that still considers its lease valid, beside the leader
+// elected meanwhile.
+func TestSuspendedLeaderLosesLease(t *testing.T) {
 	g := newGroup(t, 3)
 	g.enrol("x")
 	g.awaitPlaced("x")
@@ -26,14 +25,14 @@
 		if suspended = s.core.HoldsLease(now); !suspended {
 			return
 		}
-		g.slept[leader].Store(int64(3 * time.Second))
-		// The first thing that it does when it is back.
+		g.suspendedFor[leader].Store(int64(3 * time.Second))
+		// The lease must have expired before anything else runs.
 		assert.Assert(t, !s.core.HoldsLease(s.now()))
-		_, _, counted := s.limits.take(s.now(), &coordapi.Place{Tenant: "t", Amount: quota.Amount(1)})
+		_, _, counted := s.tenantLimits.admit(s.now(), &coordapi.Place{Tenant: "t", Amount: quota.Amount(1)})
 		assert.Assert(t, !counted)
 	})
 	assert.Assert(t, suspended)
-	// Back ends that it has not heard of for that time are not taken for gone.
+	// Back ends are not removed because of the time of the suspension.
 	g.call(0, configure(4))
 	g.awaitPlaced("x")
 }
--- a/internal/coordinator/told.go
+++ b/internal/coordinator/told.go
@@ -10,67 +10,68 @@
 )
 
 const (
-	// keptSaved bounds the saved parts that a leader remembers for watchers.
-	keptSaved = 8192
-	// announceEvery is the least time between two announcements, and
-	// announceStep what each watcher adds to it.
-	announceEvery = 80 * time.Millisecond
-	announceStep  = 3 * time.Millisecond
-	// enginesEvery is the least time between two announcements of what engines have to
-	// do. Routers need it only while the leader places nothing: without it they
-	// begin with what is some runs old, and hear the rest from their own requests.
-	enginesEvery = 3 * time.Second
-	// packFrom is how many back ends an announcement must name to be packed.
-	packFrom = 48
-	// crowdedFor is how long after a refusal engines count as crowded.
-	crowdedFor = time.Second
-	// loadKept is how long a router's load counts after it was told.
-	loadKept = 1500 * time.Millisecond
+	// maxSavedParts bounds the number of saved parts that are kept for watchers.
+	maxSavedParts = 8192
+	// announceInterval is the minimum time between two announcements, to which
+	// announceIntervalPerWatcher is added for each watcher.
+	announceInterval           = 80 * time.Millisecond
+	announceIntervalPerWatcher = 3 * time.Millisecond
+	// engineLoadsInterval is the minimum time between two announcements with the loads of
+	// engines. Routers need these only while the leader places no requests, and can start with
+	// outdated ones.
+	engineLoadsInterval = 3 * time.Second
+	// minPackedLoads is the number of loads from which an announcement is packed.
+	minPackedLoads = 48
+	// saturationTime is how long after a refused request engines count as saturated.
+	saturationTime = time.Second
+	// routerLoadTimeout is how long a router's load counts after its report.
+	routerLoadTimeout = 1500 * time.Millisecond
 )
 
-// told is what routers told the leader: the prompt parts that they saved, in
-// order, and their loads. An announcement wakes the watchers.
-type told struct {
-	// first is the number of the first of parts.
-	first uint64
-	parts []uint64
-	loads map[string]routerLoad
-	// work is the sum of loads by back end.
-	work map[string]coordapi.Load
-	// refusedAt is when a router last told of refused requests; 0 for never.
+// routerReports is what routers reported to the leader: the prompt parts that they saved, in
+// order, and their loads. Announcements pass it on to the watchers.
+type routerReports struct {
+	// firstPart is the number of the first of savedParts.
+	firstPart  uint64
+	savedParts []uint64
+	loads      map[string]routerLoad
+	// totals are the sums of loads by back end.
+	totals map[string]coordapi.Load
+	// refusedAt is when a router last reported refused requests, 0 for never.
 	refusedAt time.Duration
-	// fresh says that loads came since the last announcement.
-	fresh bool
-	// plain is the work of all routers at plain back ends, and all with engines too, as
-	// of the announcement allFrom.
-	plain   sums
-	all     sums
-	allFrom uint64
-	allAt   time.Duration
-	// toldAt is when the loads in sums were told, in the mean.
-	toldAt time.Duration
-	// announcements counts them.
+	// dirty is set when loads arrived after the last announcement.
+	dirty bool
+	// plain are the loads at plain back ends, and all those at all back ends as of the
+	// announcement number allAnnounced at the time allAt.
+	plain        loadSums
+	all          loadSums
+	allAnnounced uint64
+	allAt        time.Duration
+	// meanReportTime is the mean time of the reports that were summed.
+	meanReportTime time.Duration
+	// announcements counts the announcements, and announcedAt is the time of the last one.
 	announcements uint64
-	at            time.Duration
+	announcedAt   time.Duration
 }
 
-// sums is work of all routers. Engines says that it is of engines too.
-type sums struct {
+// loadSums are the loads of all routers together. engines is set if they include those at
+// engines.
+type loadSums struct {
 	loads   []coordapi.Load
 	engines bool
-	// shards are what was asked for.
+	// shards caches the results of forShard.
 	shards map[coordapi.Shard]shardSums
 }
 
-// shardSums are the sums that concern a shard, packed where there are many; loads is empty
-// then.
+// shardSums are the loads that concern a shard. If there are many, they are packed and loads is
+// empty.
 type shardSums struct {
 	loads  []coordapi.Load
 	packed []byte
 }
 
-// of returns what concerns a shard.
-func (s *sums) of(shard coordapi.Shard) shardSums {
+// forShard returns the loads that concern a shard.
+func (s *loadSums) forShard(shard coordapi.Shard) shardSums {
 	known, made := s.shards[shard]
 	if made {
 		return known
@@ -80,7 +81,7 @@
 			known.loads = append(known.loads, l)
 		}
 	}
-	if len(known.loads) >= packFrom {
+	if len(known.loads) >= minPackedLoads {
 		// Encoding into memory cannot fail.
 		known.packed, _ = coordapi.Pack(known.loads)
 		known.loads = nil
@@ -92,100 +93,102 @@
 	return known
 }
 
-// since returns what a watcher lacks that has heard an announcement of this leader,
-// or of another.
-func (t *told) since(announced uint64, sameLeader bool) *sums {
-	if !sameLeader || announced < t.allFrom {
+// sumsSince returns the loads for a watcher, given the number of the last announcement that it
+// received and whether this leader sent it.
+func (t *routerReports) sumsSince(announced uint64, sameLeader bool) *loadSums {
+	if !sameLeader || announced < t.allAnnounced {
 		return &t.all
 	}
 	return &t.plain
 }
 
-// routerLoad is one router's work under way.
+// routerLoad is the load of one router at the time of its last report.
 type routerLoad struct {
 	at    time.Duration
 	loads []coordapi.Load
 }
 
-func (t *told) take(now time.Duration, news *coordapi.Tell) {
-	t.parts = append(t.parts, news.Saved...)
-	if excess := len(t.parts) - keptSaved; excess > 0 {
-		t.parts = slices.Clone(t.parts[excess:])
-		t.first += uint64(excess)
+// record records a router's report, whose loads replace those of its last one.
+func (t *routerReports) record(now time.Duration, update *coordapi.Tell) {
+	t.savedParts = append(t.savedParts, update.Saved...)
+	if excess := len(t.savedParts) - maxSavedParts; excess > 0 {
+		t.savedParts = slices.Clone(t.savedParts[excess:])
+		t.firstPart += uint64(excess)
 	}
 	if t.loads == nil {
-		t.loads, t.work = map[string]routerLoad{}, map[string]coordapi.Load{}
+		t.loads, t.totals = map[string]routerLoad{}, map[string]coordapi.Load{}
 	}
-	t.count(t.loads[news.Router].loads, -1)
-	t.count(news.Loads, 1)
-	t.loads[news.Router] = routerLoad{at: now, loads: news.Loads}
-	t.fresh = true
-	if news.Refused > 0 {
+	t.addLoads(t.loads[update.Router].loads, -1)
+	t.addLoads(update.Loads, 1)
+	t.loads[update.Router] = routerLoad{at: now, loads: update.Loads}
+	t.dirty = true
+	if update.Refused > 0 {
 		t.refusedAt = now
 	}
 }
 
-// count adds a router's loads to the sums, or with a sign of -1 takes them away.
-func (t *told) count(loads []coordapi.Load, sign int) {
+// addLoads adds a router's loads to totals, or with a sign of -1 subtracts them.
+func (t *routerReports) addLoads(loads []coordapi.Load, sign int) {
 	for _, l := range loads {
-		s := t.work[l.ID]
+		s := t.totals[l.ID]
 		s = coordapi.Load{ID: l.ID, Running: s.Running + sign*l.Running, Memory: s.Memory + sign*l.Memory, Prompt: s.Prompt + sign*l.Prompt,
 			Engine: l.Engine}
 		if s.Running == 0 && s.Memory == 0 && s.Prompt == 0 {
-			delete(t.work, l.ID)
+			delete(t.totals, l.ID)
 			continue
 		}
-		t.work[l.ID] = s
+		t.totals[l.ID] = s
 	}
 }
 
-// crowded tells whether requests were refused lately because engines are
-// behind.
-func (t *told) crowded(now time.Duration) bool {
-	return t.refusedAt > 0 && now < t.refusedAt+crowdedFor
+// saturated reports whether routers recently refused requests because all engines were behind.
+func (t *routerReports) saturated(now time.Duration) bool {
+	return t.refusedAt > 0 && now < t.refusedAt+saturationTime
 }
 
-func (t *told) until() uint64 { return t.first + uint64(len(t.parts)) }
+// nextPart returns the number of the next saved part.
+func (t *routerReports) nextPart() uint64 { return t.firstPart + uint64(len(t.savedParts)) }
 
-// announce tells whether watchers should be woken for news now.
-func (t *told) announce(now time.Duration, watchers int) bool {
-	if !t.fresh || now < t.at+announceEvery+time.Duration(watchers)*announceStep {
+// announce makes an announcement if there is news and the interval has passed, and reports
+// whether it did.
+func (t *routerReports) announce(now time.Duration, watchers int) bool {
+	if !t.dirty || now < t.announcedAt+announceInterval+time.Duration(watchers)*announceIntervalPerWatcher {
 		return false
 	}
-	t.fresh, t.at = false, now
+	t.dirty, t.announcedAt = false, now
 	t.announcements++
-	t.sum(now)
+	t.sumLoads(now)
 	return true
 }
 
-// sum adds the routers' loads up.
-func (t *told) sum(now time.Duration) {
+// sumLoads drops loads that have timed out and sums the rest up.
+func (t *routerReports) sumLoads(now time.Duration) {
 	var ages time.Duration
 	for router, r := range t.loads {
-		if now-r.at > loadKept {
-			t.count(r.loads, -1)
+		if now-r.at > routerLoadTimeout {
+			t.addLoads(r.loads, -1)
 			delete(t.loads, router)
 			continue
 		}
 		ages += now - r.at
 	}
-	t.toldAt = now - ages/time.Duration(max(len(t.loads), 1))
-	loads := slices.Collect(maps.Values(t.work))
+	t.meanReportTime = now - ages/time.Duration(max(len(t.loads), 1))
+	loads := slices.Collect(maps.Values(t.totals))
 	slices.SortFunc(loads, func(a, b coordapi.Load) int { return strings.Compare(a.ID, b.ID) })
-	if t.allFrom == 0 || now >= t.allAt+enginesEvery {
-		t.all, t.allFrom, t.allAt = sums{loads: loads, engines: true}, t.announcements, now
+	if t.allAnnounced == 0 || now >= t.allAt+engineLoadsInterval {
+		t.all, t.allAnnounced, t.allAt = loadSums{loads: loads, engines: true}, t.announcements, now
 	}
-	t.plain = sums{loads: slices.DeleteFunc(slices.Clone(loads), func(l coordapi.Load) bool { return l.Engine })}
+	t.plain = loadSums{loads: slices.DeleteFunc(slices.Clone(loads), func(l coordapi.Load) bool { return l.Engine })}
 }
 
-// after returns the parts behind a number, and the number of the next.
-func (t *told) after(since uint64) ([]uint64, uint64) {
-	if since >= t.until() {
-		return nil, t.until()
+// savedAfter returns the saved parts from a number on, and the number of the next one.
+func (t *routerReports) savedAfter(since uint64) ([]uint64, uint64) {
+	if since >= t.nextPart() {
+		return nil, t.nextPart()
 	}
-	return t.parts[max(since, t.first)-t.first:], t.until()
+	return t.savedParts[max(since, t.firstPart)-t.firstPart:], t.nextPart()
 }
 
-// unread is how many prompt tokens an engine has still to read, for all that
-// routers have told.
-func (t *told) unread(id string) int { return t.work[id].Prompt }
+// unreadPrompt returns the number of prompt tokens that an engine has yet to process according to
+// the routers' reports.
+func (t *routerReports) unreadPrompt(id string) int { return t.totals[id].Prompt }
--- a/internal/coordinator/told_test.go
+++ b/internal/coordinator/told_test.go
@@ -11,56 +11,56 @@
 	"quinceridge.example/quinceridge/internal/settings"
 )
 
-// tellLoads brings a router's load at a number of back ends.
-func tellLoads(t *told, router string, backends int) {
+// reportLoads records a report of a router with loads at a number of back ends.
+func reportLoads(t *routerReports, router string, backends int) {
 	news := &coordapi.Tell{Router: router}
 	for i := range backends {
 		news.Loads = append(news.Loads, coordapi.Load{ID: fmt.Sprintf("i-%010x", i*7919), Running: 1, Memory: 900 + i, Prompt: 40})
 	}
-	t.take(time.Second, news)
+	t.record(time.Second, news)
 }
 
 func TestLoadsOfAllRoutersAreSummed(t *testing.T) {
-	var sums told
-	tellLoads(&sums, "a", 2)
-	tellLoads(&sums, "b", 1)
+	var sums routerReports
+	reportLoads(&sums, "a", 2)
+	reportLoads(&sums, "b", 1)
 	assert.Assert(t, sums.announce(2*time.Second, 2))
-	assert.DeepEqual(t, sums.since(0, true).loads, []coordapi.Load{
+	assert.DeepEqual(t, sums.sumsSince(0, true).loads, []coordapi.Load{
 		{ID: "i-0000000000", Running: 2, Memory: 1800, Prompt: 80}, {ID: "i-0000001eef", Running: 1, Memory: 901, Prompt: 40}})
-	assert.Assert(t, !sums.announce(3*time.Second, 2), "nothing new was told")
+	assert.Assert(t, !sums.announce(3*time.Second, 2), "nothing new was reported")
 }
 
-func TestSharedLoadsSayHowOldTheyAre(t *testing.T) {
-	var sums told
-	sums.take(time.Second, &coordapi.Tell{Router: "a"})
-	sums.take(2*time.Second, &coordapi.Tell{Router: "b"})
+func TestAnnounceComputesMeanReportTime(t *testing.T) {
+	var sums routerReports
+	sums.record(time.Second, &coordapi.Tell{Router: "a"})
+	sums.record(2*time.Second, &coordapi.Tell{Router: "b"})
 	assert.Assert(t, sums.announce(2200*time.Millisecond, 2))
-	assert.Equal(t, sums.toldAt, 1500*time.Millisecond)
+	assert.Equal(t, sums.meanReportTime, 1500*time.Millisecond)
 }
 
-func TestARefusalCountsForAWhile(t *testing.T) {
-	var news told
-	assert.Assert(t, !news.crowded(time.Second))
-	news.take(time.Second, &coordapi.Tell{Router: "a", Refused: 1})
-	news.take(1500*time.Millisecond, &coordapi.Tell{Router: "b"})
-	assert.Assert(t, news.crowded(1900*time.Millisecond))
-	assert.Assert(t, !news.crowded(2*time.Second))
+func TestSaturationExpires(t *testing.T) {
+	var news routerReports
+	assert.Assert(t, !news.saturated(time.Second))
+	news.record(time.Second, &coordapi.Tell{Router: "a", Refused: 1})
+	news.record(1500*time.Millisecond, &coordapi.Tell{Router: "b"})
+	assert.Assert(t, news.saturated(1900*time.Millisecond))
+	assert.Assert(t, !news.saturated(2*time.Second))
 }
 
-func TestTheTimeOfALoadIsLearned(t *testing.T) {
+func TestMeanLoadTimeConverges(t *testing.T) {
 	var r rollout
-	assert.Equal(t, r.planConfig(settings.Coordinator{}).PerLoad, assumedLoad)
+	assert.Equal(t, r.planConfig(settings.Coordinator{}).PerLoad, minLoadTime)
 	for range 20 {
-		r.learn(3 * time.Second)
+		r.recordLoadTime(3 * time.Second)
 	}
 	assert.Equal(t, r.planConfig(settings.Coordinator{}).PerLoad.Round(100*time.Millisecond), 3*time.Second)
 }
 
 func TestManyLoadsArePacked(t *testing.T) {
-	var sums told
-	tellLoads(&sums, "a", 300)
+	var sums routerReports
+	reportLoads(&sums, "a", 300)
 	assert.Assert(t, sums.announce(2*time.Second, 2))
-	all := sums.since(0, true).of(coordapi.Shard{})
+	all := sums.sumsSince(0, true).forShard(coordapi.Shard{})
 	packed := all.packed
 	assert.Equal(t, len(all.loads), 0)
 	assert.Assert(t, len(packed) < 300*15, "%d bytes", len(packed))
@@ -69,40 +69,39 @@
 	assert.Equal(t, len(loads), 300)
 }
 
-// The leader sent each of 295 routers what 2,400 engines had to do once a second,
-// 6 MB/s in all, though it places what engines get.
-func TestWhatEnginesHaveToDoIsAnnouncedSeldom(t *testing.T) {
-	var sums told
+// Guards against sending the loads of all engines to all routers with each announcement.
+func TestEngineLoadsAreAnnouncedRarely(t *testing.T) {
+	var sums routerReports
 	tell := func(now time.Duration) {
-		sums.take(now, &coordapi.Tell{Router: "a", Loads: []coordapi.Load{{ID: "engine", Running: 1, Engine: true}, {ID: "plain", Running: 1}}})
+		sums.record(now, &coordapi.Tell{Router: "a", Loads: []coordapi.Load{{ID: "engine", Running: 1, Engine: true}, {ID: "plain", Running: 1}}})
 		assert.Assert(t, sums.announce(now, 1))
 	}
 	tell(time.Second)
-	first := sums.since(0, true)
+	first := sums.sumsSince(0, true)
 	assert.Assert(t, first.engines)
 	assert.Equal(t, len(first.loads), 2)
 	tell(2 * time.Second)
-	assert.DeepEqual(t, sums.since(1, true).loads, []coordapi.Load{{ID: "plain", Running: 1}})
-	assert.Assert(t, sums.since(1, false).engines, "a watcher that comes from another leader")
-	tell(time.Second + enginesEvery)
-	tell(2*time.Second + enginesEvery)
-	assert.Assert(t, sums.since(2, true).engines, "a watcher that missed the announcement with engines")
-	assert.Assert(t, !sums.since(3, true).engines)
+	assert.DeepEqual(t, sums.sumsSince(1, true).loads, []coordapi.Load{{ID: "plain", Running: 1}})
+	assert.Assert(t, sums.sumsSince(1, false).engines, "a watcher of another leader")
+	tell(time.Second + engineLoadsInterval)
+	tell(2*time.Second + engineLoadsInterval)
+	assert.Assert(t, sums.sumsSince(2, true).engines, "a watcher that missed the announcement with engines")
+	assert.Assert(t, !sums.sumsSince(3, true).engines)
 }
 
-// What one router has told of itself counts once, and for a while, however often it does.
-func TestARoutersLastWordCounts(t *testing.T) {
-	var sums told
-	word := func(now time.Duration, router string, loads ...coordapi.Load) {
-		sums.take(now, &coordapi.Tell{Router: router, Loads: loads})
+// Only the latest report of a router counts, and only until it times out.
+func TestLatestReportOfRouterCounts(t *testing.T) {
+	var sums routerReports
+	report := func(now time.Duration, router string, loads ...coordapi.Load) {
+		sums.record(now, &coordapi.Tell{Router: router, Loads: loads})
 	}
-	word(time.Second, "a", coordapi.Load{ID: "x", Running: 2, Prompt: 70}, coordapi.Load{ID: "y", Running: 1, Prompt: 5})
-	word(time.Second, "b", coordapi.Load{ID: "x", Running: 1, Prompt: 30})
-	assert.Equal(t, sums.unread("x"), 100)
-	word(1100*time.Millisecond, "a", coordapi.Load{ID: "x", Running: 1, Prompt: 10})
-	assert.Equal(t, sums.unread("x"), 40)
-	assert.Equal(t, sums.unread("y"), 0)
-	word(time.Second+loadKept, "a")
-	assert.Assert(t, sums.announce(2*time.Second+loadKept, 2))
-	assert.Equal(t, len(sums.work), 0, "b was not heard of for long")
+	report(time.Second, "a", coordapi.Load{ID: "x", Running: 2, Prompt: 70}, coordapi.Load{ID: "y", Running: 1, Prompt: 5})
+	report(time.Second, "b", coordapi.Load{ID: "x", Running: 1, Prompt: 30})
+	assert.Equal(t, sums.unreadPrompt("x"), 100)
+	report(1100*time.Millisecond, "a", coordapi.Load{ID: "x", Running: 1, Prompt: 10})
+	assert.Equal(t, sums.unreadPrompt("x"), 40)
+	assert.Equal(t, sums.unreadPrompt("y"), 0)
+	report(time.Second+routerLoadTimeout, "a")
+	assert.Assert(t, sums.announce(2*time.Second+routerLoadTimeout, 2))
+	assert.Equal(t, len(sums.totals), 0, "the reports have timed out")
 }
--- a/internal/coordinator/unreadable.go
+++ b/internal/coordinator/unreadable.go
@@ -1,11 +1,11 @@
 package coordinator
 
-// RecordUnreadable notes that what was said in a back end's name could not be read. It changes
-// nothing that is believed of that back end or of others. Another writer may send it as often
-// as all back ends together: one line a second says so.
+// RecordUnreadable records a message in the name of a back end that could not be decoded. It
+// changes no state of the back end. At most one line a second is logged, because a sender other
+// than a back end may send such messages at any rate.
 func (s *Server) RecordUnreadable(name string, err error) {
 	count := s.unreadable.Add(1)
 	if s.unreadableLines.Allow(s.now(), 1) {
-		s.logger.Warn("entry cannot be read", "part", "registry", "backend", name, "error", err.Error(), "total", count)
+		s.logger.Warn("cannot decode message of back end", "part", "registry", "backend", name, "error", err.Error(), "total", count)
 	}
 }
