--- a/internal/forward/alarm.go
+++ b/internal/forward/alarm.go
@@ -8,84 +8,83 @@
 )
 
 const (
-	// silenceFactor is how many latency targets a repeatable attempt may be
-	// silent before another back end is asked.
+	// silenceFactor is the timeout for the first byte of a retryable attempt, in latency
+	// targets of its route.
 	silenceFactor = 2
-	// stallFactor is how many gap targets a stream that may go on elsewhere may
-	// pause, and leastStall the least such time.
+	// stallFactor is the timeout between two events of a retryable stream, in gap targets of
+	// its route, and minStall its lower bound.
 	stallFactor = 4
-	leastStall  = 2 * time.Second
-	// alarmStep is the pause after which a silent attempt is looked at again that
-	// went on for want of a repeat.
-	alarmStep = 100 * time.Millisecond
+	minStall    = 2 * time.Second
+	// recheckDelay is the delay after which a timed-out attempt asks the retry budget again.
+	recheckDelay = 100 * time.Millisecond
 )
 
-// watchSilence gives up a repeatable attempt whose back end is silent for too
-// long while another one may be asked.
-func (h *Handler) watchSilence(ctx context.Context, j *job, cancel context.CancelCauseFunc) *alarm {
+// watchSilence returns a watchdog that cancels a retryable attempt if its back end sends no
+// response in time. It returns nil if no further attempt is allowed.
+func (h *Handler) watchSilence(ctx context.Context, j *job, cancel context.CancelCauseFunc) *watchdog {
 	if !j.route.Repeatable() || j.ran+1 >= max(j.route.MaxAttempts, 1) || j.route.Target <= 0 {
 		return nil
 	}
-	return newAlarm(silenceFactor*j.route.Target, h.giveUp(ctx, j, cancel))
+	return newWatchdog(silenceFactor*j.route.Target, h.cancelForRetry(ctx, j, cancel))
 }
 
-// giveUp returns what ends a silent attempt: only when the budget has a repeat,
-// which is taken at once. Without one the attempt is the only hope that is left.
-func (h *Handler) giveUp(ctx context.Context, j *job, cancel context.CancelCauseFunc) func() bool {
+// cancelForRetry returns a watchdog callback that cancels an attempt if the budget allows a
+// retry, which it spends at once. Without a retry the attempt goes on.
+func (h *Handler) cancelForRetry(ctx context.Context, j *job, cancel context.CancelCauseFunc) func() bool {
 	return func() bool {
-		if !h.budget.Repeat(ctx, h.now(), j.pool.Name, h.config.Source.Routers()) {
+		if !h.budget.AllowRetry(ctx, h.now(), j.pool.Name, h.config.Source.Routers()) {
 			return false
 		}
-		j.granted.Store(true)
+		j.retryGranted.Store(true)
 		cancel(errSilent)
 		return true
 	}
 }
 
-// alarm gives an attempt up unless it is put off in time. A nil alarm does
+// watchdog calls onTimeout unless it is stopped or extended in time. A nil watchdog does
 // nothing.
-type alarm struct {
-	limit time.Duration
-	// giveUp returns false when it is to be asked again after alarmStep.
-	giveUp func() bool
-	// mu guards timer, which its own function sets anew, and stopped.
+type watchdog struct {
+	timeout time.Duration
+	// onTimeout returns false if it is to be called again after recheckDelay.
+	onTimeout func() bool
+	// mu guards timer and stopped; timer's own callback resets timer.
 	mu      sync.Mutex
 	timer   *time.Timer
 	stopped bool
 }
 
-func newAlarm(limit time.Duration, giveUp func() bool) *alarm {
-	a := &alarm{limit: limit, giveUp: giveUp}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.timer = time.AfterFunc(limit, a.ring)
-	return a
+func newWatchdog(timeout time.Duration, onTimeout func() bool) *watchdog {
+	w := &watchdog{timeout: timeout, onTimeout: onTimeout}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.timer = time.AfterFunc(timeout, w.fire)
+	return w
 }
 
-func (a *alarm) ring() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if !a.stopped && !a.giveUp() {
-		a.timer.Reset(alarmStep)
+func (w *watchdog) fire() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if !w.stopped && !w.onTimeout() {
+		w.timer.Reset(recheckDelay)
 	}
 }
 
-func (a *alarm) stop() { a.reset(true) }
+func (w *watchdog) stop() { w.reset(true) }
 
-func (a *alarm) putOff() { a.reset(false) }
+func (w *watchdog) extend() { w.reset(false) }
 
-func (a *alarm) reset(stopped bool) {
-	if a == nil {
+func (w *watchdog) reset(stopped bool) {
+	if w == nil {
 		return
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.stopped = a.stopped || stopped
-	if a.stopped {
-		a.timer.Stop()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.stopped = w.stopped || stopped
+	if w.stopped {
+		w.timer.Stop()
 		return
 	}
-	a.timer.Reset(a.limit)
+	w.timer.Reset(w.timeout)
 }
 
-var errSilent = errors.New("the back end was silent for too long")
+var errSilent = errors.New("the back end sent nothing in time")
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -16,83 +16,82 @@
 )
 
 const (
-	// maxWhole bounds an answer that is read whole before it is passed on.
-	maxWhole = 16 << 20
+	// maxBufferedBody bounds the body of a response that is buffered before it is forwarded.
+	maxBufferedBody = 16 << 20
 	// maxEvent bounds one event of a stream.
 	maxEvent     = 1 << 20
 	streamBuffer = 4 << 10
 )
 
-// session is the caller's side of one request.
+// session is the response to one client request.
 type session struct {
 	handler *Handler
 	writer  http.ResponseWriter
 	job     *job
 	status  int
-	// begun says that a part of an answer has left.
-	begun bool
-	// lastEvent is the ID of the last event that was passed on, and lastNumber
-	// its value.
-	lastEvent  string
-	lastNumber int64
-	events     int
-	firstAt    time.Duration
-	// lastAt is when the last event was passed on, and longestGap the longest
-	// pause between two.
+	// headerSent is set once a part of the response has been written.
+	headerSent bool
+	// lastEventID is the ID of the last forwarded event, and lastEventNumber its numeric value.
+	lastEventID     string
+	lastEventNumber int64
+	events          int
+	firstAt         time.Duration
+	// lastAt is when the last event was forwarded, and longestGap the longest pause between
+	// two.
 	lastAt     time.Duration
 	longestGap time.Duration
-	// stall watches for pauses of a stream that may go on elsewhere.
-	stall *alarm
+	// stall cancels the attempt at a stalled stream that can be resumed elsewhere.
+	stall *watchdog
 }
 
-// whole is a back end's whole answer.
-type whole struct {
+// bufferedResponse is a complete response of a back end.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// take passes an answer on, or says why it cannot be.
-func (h *Handler) take(ctx context.Context, s *session, answer *upstream.BackendResponse) outcome {
-	if answer.StatusCode == http.StatusOK && s.job.route.Kind == traffic.KindStream {
-		return s.stream(ctx, answer)
+// relay forwards a response to the client, or returns why it cannot be forwarded.
+func (h *Handler) relay(ctx context.Context, s *session, response *upstream.BackendResponse) outcome {
+	if response.StatusCode == http.StatusOK && s.job.route.Kind == traffic.KindStream {
+		return s.stream(ctx, response)
 	}
-	body, err := io.ReadAll(io.LimitReader(answer, maxWhole))
+	body, err := io.ReadAll(io.LimitReader(response, maxBufferedBody))
 	if err != nil {
-		return outcome{verdict: mayHaveRun, err: err, arrived: true}
+		return outcome{verdict: mayHaveRun, err: err, delivered: true}
 	}
-	read := &whole{status: answer.StatusCode, header: answer.Header, body: body}
+	read := &bufferedResponse{status: response.StatusCode, header: response.Header, body: body}
 	names := &h.config.Headers
 	switch {
-	case answer.StatusCode == http.StatusMisdirectedRequest || answer.Header.Get(names.NotRun) != "":
-		return outcome{verdict: notRun, answer: read, arrived: true, err: errTurnedAway}
-	case answer.StatusCode >= http.StatusInternalServerError:
-		return outcome{verdict: failed, answer: read, arrived: true, err: errAnsweredFailure}
-	case answer.StatusCode < http.StatusMultipleChoices && answer.Header.Get(names.Seal) == "":
-		return outcome{verdict: mayHaveRun, arrived: true, err: errNoSeal}
-	case s.begun:
-		return outcome{verdict: mayHaveRun, arrived: true, err: errAnsweredFailure}
-	}
-	s.writeWhole(read)
+	case response.StatusCode == http.StatusMisdirectedRequest || response.Header.Get(names.NotRun) != "":
+		return outcome{verdict: notRun, response: read, delivered: true, err: errRejected}
+	case response.StatusCode >= http.StatusInternalServerError:
+		return outcome{verdict: failed, response: read, delivered: true, err: errServerError}
+	case response.StatusCode < http.StatusMultipleChoices && response.Header.Get(names.Seal) == "":
+		return outcome{verdict: mayHaveRun, delivered: true, err: errNoSeal}
+	case s.headerSent:
+		return outcome{verdict: mayHaveRun, delivered: true, err: errServerError}
+	}
+	s.writeBuffered(read)
 	return outcome{verdict: done}
 }
 
 var (
-	errTurnedAway      = errors.New("turned away")
-	errAnsweredFailure = errors.New("answered with a failure")
-	errNoSeal          = errors.New("the answer is not signed")
-	errEventOrder      = errors.New("the events are not in order")
-	errEventSize       = errors.New("an event is too large")
-	errHalfEvent       = errors.New("the stream ended within an event")
-	errNoEvent         = errors.New("the stream ended without an event")
+	errRejected       = errors.New("rejected")
+	errServerError    = errors.New("responded with a failure")
+	errNoSeal         = errors.New("the response is not signed")
+	errEventOrder     = errors.New("events are out of order")
+	errEventSize      = errors.New("event is too large")
+	errTruncatedEvent = errors.New("the stream ended within an event")
+	errNoEvent        = errors.New("the stream ended without an event")
 )
 
-// copyHead passes the back end's headers on.
-func (s *session) copyHead(header http.Header) {
+// copyHeader copies the back end's response headers, except those of the connection.
+func (s *session) copyHeader(header http.Header) {
 	out := s.writer.Header()
-	dropped := connectionNamed(header)
+	dropped := connectionHeaders(header)
 	for name, values := range header {
-		if !hopAnswer[name] && !dropped[name] {
+		if !hopResponseHeaders[name] && !dropped[name] {
 			out[name] = values
 		}
 	}
@@ -104,58 +103,59 @@
 	}
 }
 
-var hopAnswer = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
+// hopResponseHeaders are response headers that concern one connection only.
+var hopResponseHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true}
 
-func (s *session) writeWhole(answer *whole) {
-	s.copyHead(answer.header)
-	s.status = answer.status
+func (s *session) writeBuffered(response *bufferedResponse) {
+	s.copyHeader(response.header)
+	s.status = response.status
 	s.firstAt = s.handler.now()
-	s.writer.Header().Set("Content-Length", strconv.Itoa(len(answer.body)))
-	s.writer.WriteHeader(answer.status)
-	_, _ = s.writer.Write(answer.body)
+	s.writer.Header().Set("Content-Length", strconv.Itoa(len(response.body)))
+	s.writer.WriteHeader(response.status)
+	_, _ = s.writer.Write(response.body)
 }
 
-// stream passes events on as they come. The head leaves with the first event.
-func (s *session) stream(ctx context.Context, answer *upstream.BackendResponse) outcome {
-	reader := bufio.NewReaderSize(answer, streamBuffer)
-	if answer.Header.Get(s.handler.config.Headers.Seal) == "" {
-		return outcome{verdict: mayHaveRun, arrived: true, err: errNoSeal}
+// stream forwards events as they arrive. The header is sent with the first event.
+func (s *session) stream(ctx context.Context, response *upstream.BackendResponse) outcome {
+	reader := bufio.NewReaderSize(response, streamBuffer)
+	if response.Header.Get(s.handler.config.Headers.Seal) == "" {
+		return outcome{verdict: mayHaveRun, delivered: true, err: errNoSeal}
 	}
 	var event []byte
 	for {
 		var err error
 		event, err = readEvent(reader, event[:0])
 		if err == io.EOF && len(event) == 0 {
-			return s.endStream(answer)
+			return s.endStream(response)
 		}
 		if err == io.EOF {
-			err = errHalfEvent
+			err = errTruncatedEvent
 		}
 		if err == nil {
-			err = s.passEvent(answer, event, !eventWaits(reader))
+			err = s.writeEvent(response, event, !eventBuffered(reader))
 		}
 		if err != nil {
-			return outcome{verdict: mayHaveRun, err: err, arrived: true}
+			return outcome{verdict: mayHaveRun, err: err, delivered: true}
 		}
 	}
 }
 
-func (s *session) endStream(answer *upstream.BackendResponse) outcome {
-	if !s.begun {
-		return outcome{verdict: mayHaveRun, err: errNoEvent, arrived: true}
+func (s *session) endStream(response *upstream.BackendResponse) outcome {
+	if !s.headerSent {
+		return outcome{verdict: mayHaveRun, err: errNoEvent, delivered: true}
 	}
 	return outcome{verdict: done}
 }
 
-// eventWaits tells whether another whole event has been read already. Only then
-// is an event held back for a moment, to leave together with the next.
-func eventWaits(reader *bufio.Reader) bool {
+// eventBuffered reports whether another complete event is buffered. Flushing then waits for
+// that event.
+func eventBuffered(reader *bufio.Reader) bool {
 	waiting, _ := reader.Peek(reader.Buffered())
 	return bytes.Contains(waiting, []byte("\n\n")) || bytes.Contains(waiting, []byte("\n\r\n"))
 }
 
-// readEvent reads up to and with the empty line that ends an event.
+// readEvent reads one event, including the empty line that ends it.
 func readEvent(reader *bufio.Reader, event []byte) ([]byte, error) {
 	for {
 		line, err := reader.ReadSlice('\n')
@@ -177,28 +177,28 @@
 	}
 }
 
-// passEvent writes one whole event. Events that the caller has are dropped.
-func (s *session) passEvent(answer *upstream.BackendResponse, event []byte, flush bool) error {
+// writeEvent forwards one complete event. It drops events that the client already has.
+func (s *session) writeEvent(response *upstream.BackendResponse, event []byte, flush bool) error {
 	id, named := eventID(event)
 	if named {
 		number, err := strconv.ParseInt(id, 10, 64)
-		if err == nil && s.lastEvent != "" && number <= s.lastNumber {
+		if err == nil && s.lastEventID != "" && number <= s.lastEventNumber {
 			if s.events == 0 {
 				return errEventOrder
 			}
 			return nil
 		}
-		s.lastNumber = number
+		s.lastEventNumber = number
 	}
-	if !s.begun {
-		s.copyHead(answer.Header)
-		s.status = answer.StatusCode
-		s.writer.WriteHeader(answer.StatusCode)
-		s.begun = true
+	if !s.headerSent {
+		s.copyHeader(response.Header)
+		s.status = response.StatusCode
+		s.writer.WriteHeader(response.StatusCode)
+		s.headerSent = true
 		s.firstAt = s.handler.now()
 		s.lastAt = s.firstAt
 	}
-	s.noteGap()
+	s.recordGap()
 	if _, err := s.writer.Write(event); err != nil {
 		return err
 	}
@@ -207,20 +207,20 @@
 	}
 	s.events++
 	if named {
-		s.lastEvent = strings.Clone(id)
+		s.lastEventID = strings.Clone(id)
 	}
 	return nil
 }
 
-// noteGap measures the pause before an event.
-func (s *session) noteGap() {
+// recordGap measures the pause before an event.
+func (s *session) recordGap() {
 	now := s.handler.now()
-	s.stall.putOff()
+	s.stall.extend()
 	s.longestGap = max(s.longestGap, now-s.lastAt)
 	s.lastAt = now
 }
 
-// eventID returns the value of an event's id line.
+// eventID returns the value of an event's id field.
 func eventID(event []byte) (string, bool) {
 	for line := range bytes.Lines(event) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -18,45 +18,45 @@
 )
 
 const (
-	// maxSends bounds how often one request is offered to back ends.
+	// maxSends bounds the number of attempts for one request.
 	maxSends = 4
-	// fullRetry is when to come back after all back ends turned a request away.
-	fullRetry = 250 * time.Millisecond
+	// busyRetryAfter is the Retry-After of a request that all back ends rejected.
+	busyRetryAfter = 250 * time.Millisecond
 )
 
-// verdict is what became of one attempt.
+// verdict classifies the result of one attempt.
 type verdict int
 
 const (
-	// done: an answer was passed on, or the caller is gone.
+	// done: a response was forwarded, or the client is gone.
 	done verdict = iota
-	// notRun: the back end surely did not run the request.
+	// notRun: the back end did not run the request.
 	notRun
-	// mayHaveRun: the back end may have run the request and gave no answer.
+	// mayHaveRun: the back end may have run the request and sent no complete response.
 	mayHaveRun
-	// failed: the back end ran the request and answered with an error.
+	// failed: the back end ran the request and responded with an error.
 	failed
 )
 
-// outcome is one attempt's verdict with what is needed to go on.
+// outcome is the result of one attempt.
 type outcome struct {
 	verdict verdict
 	err     error
-	// answer is a failed attempt's whole answer, to be passed on if no other
-	// attempt is made.
-	answer *whole
-	// arrived says that the back end got the request.
-	arrived bool
+	// response is the complete response of a failed attempt, forwarded if there is no further
+	// attempt.
+	response *bufferedResponse
+	// delivered is set if the back end received the request.
+	delivered bool
 }
 
-// serve runs attempts until one gives an answer or no further one is allowed.
+// serve makes attempts until one succeeds or no further one is allowed.
 func (h *Handler) serve(ctx context.Context, w http.ResponseWriter, j *job) {
-	h.budget.Request(h.now(), j.pool.Name)
+	h.budget.CountRequest(h.now(), j.pool.Name)
 	s := &session{handler: h, writer: w, job: j}
-	defer h.settle(j)
+	defer h.refundQuota(j)
 	for {
-		// Asked before each attempt, and by what is asked for: a request that ends back
-		// ends comes under a new ID each time, here or at another router.
+		// This is checked before each attempt and by digest: a poison request is resent under
+		// new IDs and through other routers.
 		if blocked, is := h.config.Observer.Blocked(j.digest); is {
 			h.refuseBlocked(s, blocked.Backends, blocked.Revision)
 			return
@@ -67,40 +67,40 @@
 			return
 		}
 		if choice.OverLimit {
-			h.metrics.overLimit.Add(1)
-			h.refuse(w, j, &refusal{status: http.StatusTooManyRequests, reason: "tenant " + j.tenant.Name + " is beyond its limit", after: choice.Wait})
+			h.metrics.refusedOverLimit.Add(1)
+			h.refuse(w, j, &refusal{status: http.StatusTooManyRequests, reason: "tenant " + j.tenant.Name + " is over its limit", retryAfter: choice.Wait})
 			return
 		}
 		if !found {
-			if j.room > 0 {
-				h.metrics.noRoom.Add(1)
+			if j.permitDelay > 0 {
+				h.metrics.noPermit.Add(1)
 			}
-			h.finish(ctx, s, outcome{verdict: notRun, err: j.whyNone()})
+			h.finish(ctx, s, outcome{verdict: notRun, err: j.noBackendError()})
 			return
 		}
 		if choice.Late {
-			reason := fmt.Sprintf("engines are behind by %d ms and more", choice.Wait.Milliseconds())
-			h.metrics.behind.Add(1)
-			h.refuse(w, j, &refusal{status: http.StatusServiceUnavailable, reason: reason, after: returnAfter(&choice, &j.query)})
+			reason := fmt.Sprintf("all engines are behind by at least %d ms", choice.Wait.Milliseconds())
+			h.metrics.refusedBehind.Add(1)
+			h.refuse(w, j, &refusal{status: http.StatusServiceUnavailable, reason: reason, retryAfter: behindRetryAfter(&choice, &j.query)})
 			return
 		}
 		result := h.attempt(ctx, s, choice)
 		if result.verdict == done {
 			j.ran++
-			h.logDone(s, "answered")
+			h.logResponse(s, "answered")
 			return
 		}
-		if result.arrived {
-			j.sent++
+		if result.delivered {
+			j.deliveries++
 		}
-		if isKept(result.err) {
-			j.kept++
+		if isWithheld(result.err) {
+			j.withheld++
 		}
 		if result.verdict != notRun {
 			j.ran++
 		}
 		j.query.Tried = append(j.query.Tried, choice.ID)
-		if ctx.Err() != nil || h.now() >= j.deadline || !h.again(ctx, j, s, result) {
+		if ctx.Err() != nil || h.now() >= j.deadline || !h.shouldRetry(ctx, j, s, result) {
 			h.finish(ctx, s, result)
 			return
 		}
@@ -108,91 +108,92 @@
 }
 
 var (
-	errNoBackend = errors.New("no back end can take the request now")
-	errNoRoom    = errors.New("the back ends take only so much from all machines, and have no room now")
+	errNoBackend = errors.New("no back end is available")
+	errNoPermit  = errors.New("all back ends are at their limits")
 )
 
-// isKept tells whether an attempt was not sent since its back end wants none from here now.
-func isKept(err error) bool {
+// isWithheld reports whether an attempt was not sent because of a pushback or limit of its back
+// end.
+func isWithheld(err error) bool {
 	return errors.Is(err, pushback.ErrUnavailable) || errors.Is(err, ratelimit.ErrNoRight)
 }
 
-// whyNone says why no back end was found.
-func (j *job) whyNone() error {
-	if j.room > 0 {
-		return errNoRoom
+// noBackendError returns the reason why no back end was found.
+func (j *job) noBackendError() error {
+	if j.permitDelay > 0 {
+		return errNoPermit
 	}
 	return errNoBackend
 }
 
-// again tells whether another attempt is allowed after a result.
-func (h *Handler) again(ctx context.Context, j *job, s *session, result outcome) bool {
-	if j.tries() >= maxSends || (s.begun && !j.route.Resumable) {
+// shouldRetry reports whether another attempt is allowed after a result.
+func (h *Handler) shouldRetry(ctx context.Context, j *job, s *session, result outcome) bool {
+	if j.tries() >= maxSends || (s.headerSent && !j.route.Resumable) {
 		return false
 	}
-	if result.verdict == notRun && !result.arrived {
-		// What the budget granted for this attempt, if it was a repeat, is still there: only
-		// what arrives at a back end counts.
+	if result.verdict == notRun && !result.delivered {
+		// A retry that the budget granted for this attempt is not spent: only delivered
+		// attempts count.
 		return true
 	}
 	if result.verdict != notRun && (!j.route.Repeatable() || j.ran >= max(j.route.MaxAttempts, 1)) {
 		return false
 	}
-	if j.sent == 0 || j.granted.Swap(false) {
+	if j.deliveries == 0 || j.retryGranted.Swap(false) {
 		return true
 	}
-	return h.budget.Repeat(ctx, h.now(), j.pool.Name, h.config.Source.Routers())
+	return h.budget.AllowRetry(ctx, h.now(), j.pool.Name, h.config.Source.Routers())
 }
 
-// attempt sends the request to one back end and passes the answer on.
+// attempt sends the request to one back end and forwards the response.
 func (h *Handler) attempt(ctx context.Context, s *session, choice backends.Choice) outcome {
 	j := s.job
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	silence := h.watchSilence(ctx, j, cancel)
 	defer silence.stop()
-	h.address(j, s, choice)
+	h.setBackendHeaders(j, s, choice)
 	started := h.now()
 	running := h.config.Pool.Begin(started, &choice, &j.query, cancel)
 	defer func() { running.End(h.now()) }()
 	if choice.Placement > 0 {
 		defer h.config.Placer.Ended(choice.Placement)
 	}
-	answer, err := h.config.Upstream.Do(ctx, choice.Address, j.request)
-	// One that is not used by now never will be.
+	response, err := h.config.Upstream.Do(ctx, choice.Address, j.request)
+	// A permit that was not consumed by Do is not needed any more.
 	h.config.Limits.GiveBack(choice.Right)
 	if err != nil {
-		result := h.noAnswer(ctx, j, choice, err)
-		h.ended(ctx, s, choice, nil, result, started)
+		result := h.handleSendError(ctx, j, choice, err)
+		h.reportAttempt(ctx, s, choice, nil, result, started)
 		return result
 	}
-	defer answer.Close()
+	defer response.Close()
 	silence.stop()
-	if choice.Placement > 0 && answer.StatusCode == http.StatusOK {
+	if choice.Placement > 0 && response.StatusCode == http.StatusOK {
 		h.config.Placer.Begun(choice.Placement, h.now()-started)
 	}
-	h.noteStore(j, running.Begun(h.now(), answer.StatusCode == http.StatusOK))
-	h.noteVersion(j, choice, answer.Header)
+	h.observeStoreDelay(j, running.Begun(h.now(), response.StatusCode == http.StatusOK))
+	h.recordVersion(j, choice, response.Header)
 	if j.route.Kind == traffic.KindStream && silence != nil {
-		s.stall = newAlarm(max(stallFactor*j.route.GapTarget, leastStall), h.giveUp(ctx, j, cancel))
+		s.stall = newWatchdog(max(stallFactor*j.route.GapTarget, minStall), h.cancelForRetry(ctx, j, cancel))
 		defer s.stall.stop()
 	}
-	result := h.take(ctx, s, answer)
-	h.note(ctx, s, choice, answer, result, h.now()-started)
-	h.ended(ctx, s, choice, answer, result, started)
+	result := h.relay(ctx, s, response)
+	h.recordAttempt(ctx, s, choice, response, result, h.now()-started)
+	h.reportAttempt(ctx, s, choice, response, result, started)
 	return result
 }
 
-// address fills the headers that depend on the back end.
-func (h *Handler) address(j *job, s *session, choice backends.Choice) {
+// setBackendHeaders sets the headers and fields of the request that depend on the back end.
+func (h *Handler) setBackendHeaders(j *job, s *session, choice backends.Choice) {
 	names, header := &h.config.Headers, j.request.Header
 	header.Set(names.Instance, choice.Name())
 	j.request.Backend = pushback.Backend{ID: coordapi.BackendID(choice.ID), Pool: j.pool.Name}
 	j.request.Instance = choice.Name()
 	j.request.Right = choice.Right
 	header.Set(names.Deadline, strconv.FormatInt(max((j.deadline-h.now()).Milliseconds(), 1), 10))
-	if s.lastEvent != "" {
-		header.Set(names.LastEvent, s.lastEvent)
+	if s.lastEventID != "" {
+		header.Set(names.LastEvent, s.lastEventID)
 	}
 	if j.pool.Engine == nil {
 		return
@@ -201,17 +202,17 @@
 	if choice.Versioned {
 		header.Set(names.Version, strconv.Itoa(choice.Version))
 	}
-	h.addressPrompt(j, choice)
+	h.setPromptHeaders(j, choice)
 }
 
-// noAnswer judges an attempt that got no head of an answer.
-func (h *Handler) noAnswer(ctx context.Context, j *job, choice backends.Choice, err error) outcome {
+// handleSendError returns the outcome of an attempt that received no response header.
+func (h *Handler) handleSendError(ctx context.Context, j *job, choice backends.Choice, err error) outcome {
 	if cause := context.Cause(ctx); cause != nil {
 		err = fmt.Errorf("%w (%w)", err, cause)
 	}
-	j.trace = append(j.trace, h.explain(j, choice)+": "+err.Error())
-	if isKept(err) {
-		// That is no failure of the back end, and nothing has reached it.
+	j.trace = append(j.trace, h.choiceText(j, choice)+": "+err.Error())
+	if isWithheld(err) {
+		// Nothing was sent, so this is not a failure of the back end.
 		return outcome{verdict: notRun, err: err}
 	}
 	if !errors.Is(context.Cause(ctx), context.Canceled) {
@@ -221,26 +222,26 @@
 		h.config.Pool.Unreachable(h.now(), choice.ID)
 		return outcome{verdict: notRun, err: err}
 	}
-	h.logBroken(ctx, j, choice, 0, err)
-	return outcome{verdict: mayHaveRun, err: err, arrived: true}
+	h.logFailedAttempt(ctx, j, choice, 0, err)
+	return outcome{verdict: mayHaveRun, err: err, delivered: true}
 }
 
-// logBroken says which attempt ended without a whole answer, and whether that was the
-// router's or the caller's doing: only what the back end did tells of it.
-func (h *Handler) logBroken(ctx context.Context, j *job, choice backends.Choice, events int, err error) {
+// logFailedAttempt logs an attempt that ended without a complete response. An attempt that the
+// router or the client cancelled is not counted as a failure of the back end.
+func (h *Handler) logFailedAttempt(ctx context.Context, j *job, choice backends.Choice, events int, err error) {
 	ours := ""
 	if cause := context.Cause(ctx); cause != nil {
 		ours = cause.Error()
 	}
 	if ours == "" {
-		h.metrics.broken.Add(1)
+		h.metrics.failedAttempts.Add(1)
 	}
-	h.config.Logger.Warn("attempt broke off", "part", "forward", "id", j.id, "request", j.digest.String(), "backend", choice.ID,
+	h.config.Logger.Warn("attempt failed", "part", "forward", "id", j.id, "request", j.digest.String(), "backend", choice.ID,
 		"address", choice.Address, "events", events, "given_up", ours, "error", err.Error())
 }
 
-// noteVersion learns the weights version that an answer names.
-func (h *Handler) noteVersion(j *job, choice backends.Choice, header http.Header) {
+// recordVersion records the weights version that a response names.
+func (h *Handler) recordVersion(j *job, choice backends.Choice, header http.Header) {
 	if j.query.Model == "" {
 		return
 	}
@@ -249,29 +250,29 @@
 	}
 }
 
-// note tells the pool what an attempt showed.
-func (h *Handler) note(ctx context.Context, s *session, choice backends.Choice, answer *upstream.BackendResponse, result outcome, took time.Duration) {
+// recordAttempt updates the pool with the result of an attempt that received a response header.
+func (h *Handler) recordAttempt(ctx context.Context, s *session, choice backends.Choice, response *upstream.BackendResponse, result outcome, took time.Duration) {
 	j, now := s.job, h.now()
-	text := h.explain(j, choice) + ": " + strconv.Itoa(answer.StatusCode)
+	text := h.choiceText(j, choice) + ": " + strconv.Itoa(response.StatusCode)
 	if result.err != nil {
 		text += " " + result.err.Error()
 	}
-	text += asks("retry after", answer.Header["Retry-After"])
-	text += asks("limit", answer.Header[h.config.Headers.Limit])
+	text += headerText("retry after", response.Header["Retry-After"])
+	text += headerText("limit", response.Header[h.config.Headers.Limit])
 	j.trace = append(j.trace, text)
 	switch result.verdict {
 	case done:
 		h.config.Pool.Succeeded(now, choice.ID, took)
 	case notRun:
 		h.config.Pool.Busy(now, choice.ID)
-		h.notePushback(now, choice)
-		if answer.StatusCode == http.StatusMisdirectedRequest {
-			other := result.answer.header.Get(h.config.Headers.InstanceIs)
+		h.recordPushback(now, choice)
+		if response.StatusCode == http.StatusMisdirectedRequest {
+			other := result.response.header.Get(h.config.Headers.InstanceIs)
 			h.config.Pool.Mismatch(choice.ID, j.query.Model, choice.Version, other != "" && other != choice.Name())
 		}
 	default:
-		if h.notePushback(now, choice) {
-			// A back end that wants a wait is not one that fails.
+		if h.recordPushback(now, choice) {
+			// A pushback is not a failure of the back end.
 			break
 		}
 		if ctx.Err() == nil || errors.Is(context.Cause(ctx), errSilent) {
@@ -279,21 +280,21 @@
 		}
 	}
 	if result.verdict == mayHaveRun {
-		h.logBroken(ctx, j, choice, s.events, result.err)
+		h.logFailedAttempt(ctx, j, choice, s.events, result.err)
 	}
 }
 
-// asks is what an answer asks of the router, as it stands in a header; empty if that is not
-// there.
-func asks(what string, values []string) string {
+// headerText formats a response header for the trace; it returns "" if the header is missing.
+func headerText(what string, values []string) string {
 	if len(values) == 0 {
 		return ""
 	}
 	return fmt.Sprintf(", %s %.32q", what, strings.Join(values, ", "))
 }
 
-// notePushback tells the pool of a back end that wants a wait, and returns whether it does.
-func (h *Handler) notePushback(now time.Duration, choice backends.Choice) bool {
+// recordPushback updates the pool if a pushback of the back end is in force, and reports
+// whether one is.
+func (h *Handler) recordPushback(now time.Duration, choice backends.Choice) bool {
 	wait := h.config.Pushbacks.Status(coordapi.BackendID(choice.ID)).Wait
 	if wait > 0 {
 		h.config.Pool.PushedBack(now, choice.ID, wait)
@@ -301,8 +302,8 @@
 	return wait > 0
 }
 
-// explain names a back end and what decided for it.
-func (h *Handler) explain(j *job, choice backends.Choice) string {
+// choiceText describes a back end and why it was chosen, for the trace.
+func (h *Handler) choiceText(j *job, choice backends.Choice) string {
 	text := fmt.Sprintf("%s (cost %.0f of %d", choice.ID, choice.Cost, choice.Considered)
 	if choice.Versioned {
 		text += fmt.Sprintf(", weights %d, home %t, unread %d, from %s", choice.Version, choice.Home, choice.Work.Prompt,
@@ -314,19 +315,19 @@
 	return text + ")"
 }
 
-// finish ends a request for which no further attempt is made.
+// finish ends a request for which there is no further attempt.
 func (h *Handler) finish(ctx context.Context, s *session, result outcome) {
 	j := s.job
-	if s.begun || errors.Is(context.Cause(ctx), context.Canceled) {
-		h.logDone(s, h.ending(ctx, result))
+	if s.headerSent || errors.Is(context.Cause(ctx), context.Canceled) {
+		h.logResponse(s, h.abortReason(ctx, result))
 		panic(http.ErrAbortHandler)
 	}
 	switch {
 	case result.verdict == failed:
-		s.writeWhole(result.answer)
-		h.logDone(s, "passed a failure on")
+		s.writeBuffered(result.response)
+		h.logResponse(s, "forwarded a failure")
 	case j.ran == 0:
-		h.refuse(s.writer, j, &refusal{status: http.StatusServiceUnavailable, reason: h.reason(j, result), after: h.comeBack(j)})
+		h.refuse(s.writer, j, &refusal{status: http.StatusServiceUnavailable, reason: h.reason(j, result), retryAfter: h.unavailableRetryAfter(j)})
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
 		h.refuse(s.writer, j, &refusal{status: http.StatusGatewayTimeout, reason: h.reason(j, result)})
 	default:
@@ -334,21 +335,22 @@
 	}
 }
 
-// ending says why an answer ends without its end. A caller that leaves and a
-// deadline show as a failed read of the back end's connection, for that is how
-// they end it.
-func (h *Handler) ending(ctx context.Context, result outcome) string {
+// abortReason returns the log message for a response that was aborted. A disconnected client
+// and an expired deadline both show as a read error of the back end's connection, because they
+// close it.
+func (h *Handler) abortReason(ctx context.Context, result outcome) string {
 	switch {
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
-		return "broken off at its deadline"
+		return "aborted at the deadline"
 	case ctx.Err() == nil:
-		return "broken off: " + result.err.Error()
+		return "aborted: " + result.err.Error()
 	case h.stopping.Load():
-		return "caller gone or cut by the stop"
+		return "client disconnected or router stopping"
 	}
-	return "caller gone"
+	return "client disconnected"
 }
 
+// reason returns the log message for a refused request: its attempts, or else the error.
 func (h *Handler) reason(j *job, result outcome) string {
 	text := strings.Join(j.trace, "; ")
 	if result.err != nil && text == "" {
@@ -357,12 +359,13 @@
 	return text
 }
 
-func (h *Handler) logDone(s *session, what string) {
+// logResponse logs and counts a response of a back end.
+func (h *Handler) logResponse(s *session, message string) {
 	j := s.job
-	took := h.now() - j.arrived
+	took := h.now() - j.receivedAt
 	h.metrics.CountResponse(s.status, false)
-	h.metrics.ObserveDurations(took, s.firstAt-j.arrived)
-	h.config.Logger.Info(what, "part", "forward", "id", j.id, "request", j.digest.String(), "route", j.route.Name, "pool", j.pool.Name,
+	h.metrics.ObserveDurations(took, s.firstAt-j.receivedAt)
+	h.config.Logger.Info(message, "part", "forward", "id", j.id, "request", j.digest.String(), "route", j.route.Name, "pool", j.pool.Name,
 		"table", j.table.Version, "key", j.query.Key, "status", s.status, "events", s.events, "gap_ms", s.longestGap.Milliseconds(), "took_ms", took.Milliseconds(),
-		"first_ms", (s.firstAt - j.arrived).Milliseconds(), "attempts", strings.Join(j.trace, "; "))
+		"first_ms", (s.firstAt - j.receivedAt).Milliseconds(), "attempts", strings.Join(j.trace, "; "))
 }
--- a/internal/forward/budget.go
+++ b/internal/forward/budget.go
@@ -8,127 +8,123 @@
 )
 
 const (
-	// budgetParts is into how many parts a window is divided.
-	budgetParts = 20
-	// ratioShare and burstShare are the parts of the common budget that a
-	// router counts on: the requests of one router are uneven, and the count of
-	// routers is a moment old.
+	// budgetSlots is the number of slots of a sliding window.
+	budgetSlots = 20
+	// ratioShare and burstShare are the parts of the shared budget that a router uses: load
+	// differs between routers, and the number of routers may be out of date.
 	ratioShare = 0.7
 	burstShare = 0.6
 )
 
-// BudgetConfig bounds the repeats of all routers together, for each pool.
+// BudgetConfig bounds the retries of all routers together, per pool.
 type BudgetConfig struct {
-	// Ratio is how many repeats there may be for each request, and Burst how
-	// many beyond, in Window.
+	// Ratio is the number of retries per request, and Burst the number of further retries per
+	// Window.
 	Ratio  float64
 	Burst  float64
 	Window time.Duration
 }
 
-// budget is a router's part of the common retry budget. It is safe for
-// concurrent use.
+// budget is a router's part of the shared retry budget. It is safe for concurrent use.
 type budget struct {
 	config BudgetConfig
-	// lender may be nil.
-	lender SharedBudget
+	// sharedBudget may be nil.
+	sharedBudget SharedBudget
 	// draw returns random numbers in [0, 1).
 	draw    func() float64
 	mu      sync.Mutex
 	windows map[string]*window
-	// lentAt is when the lender answered last; 0 for never.
-	lentAt time.Duration
+	// lastLent is when sharedBudget last replied; 0 for never.
+	lastLent time.Duration
 }
 
-// window counts requests and repeats of a pool in the parts of a window.
+// window counts requests and retries of a pool in a sliding window.
 type window struct {
-	// draw is in [0, 1) and stays: what is left of the router's share after whole repeats is
-	// one more for that part of all routers. Among 985 routers that have 0.9 of a
-	// repeat each nine of ten may repeat, where none could, and all together repeat
-	// as often as their shares add up to (TestSharesBelowOneRepeatAddUp).
+	// draw is in [0, 1) and constant. It rounds the router's share up or down, so that shares
+	// below one retry add up to the budget over all routers.
 	draw     float64
-	part     int64
-	requests [budgetParts + 1]int
-	repeats  [budgetParts + 1]int
+	slot     int64
+	requests [budgetSlots + 1]int
+	retries  [budgetSlots + 1]int
 }
 
-func newBudget(config BudgetConfig, lender SharedBudget) *budget {
-	return &budget{config: config, lender: lender, draw: rand.Float64, windows: map[string]*window{}}
+func newBudget(config BudgetConfig, sharedBudget SharedBudget) *budget {
+	return &budget{config: config, sharedBudget: sharedBudget, draw: rand.Float64, windows: map[string]*window{}}
 }
 
-// at returns a pool's window, moved on to now.
-func (b *budget) at(now time.Duration, pool string) *window {
+// windowAt returns a pool's window, advanced to now.
+func (b *budget) windowAt(now time.Duration, pool string) *window {
 	w := b.windows[pool]
 	if w == nil {
 		w = &window{draw: b.draw()}
 		b.windows[pool] = w
 	}
-	part := int64(now / (b.config.Window / budgetParts))
-	for steps := 0; w.part < part && steps <= budgetParts; steps++ {
-		w.part++
-		w.requests[w.part%(budgetParts+1)] = 0
-		w.repeats[w.part%(budgetParts+1)] = 0
+	slot := int64(now / (b.config.Window / budgetSlots))
+	for steps := 0; w.slot < slot && steps <= budgetSlots; steps++ {
+		w.slot++
+		w.requests[w.slot%(budgetSlots+1)] = 0
+		w.retries[w.slot%(budgetSlots+1)] = 0
 	}
-	w.part = part
+	w.slot = slot
 	return w
 }
 
-// Request counts a request for a pool.
-func (b *budget) Request(now time.Duration, pool string) {
+// CountRequest counts a request for a pool.
+func (b *budget) CountRequest(now time.Duration, pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.at(now, pool)
-	w.requests[w.part%(budgetParts+1)]++
+	w := b.windowAt(now, pool)
+	w.requests[w.slot%(budgetSlots+1)]++
 }
 
-// Repeat takes one repeat: of what this router's own requests allow, else of the burst that
-// all have together. That is lent by who knows of all routers, since those that meet a crash
-// need most of it and the others none. While nobody lends, an even part is this router's, but
-// not before what was lent is out of the window.
-func (b *budget) Repeat(ctx context.Context, now time.Duration, pool string, routers int) bool {
+// AllowRetry spends one retry: of the share that this router's requests allow, else of the
+// burst. The leader grants retries of the burst, since the routers that observe a crash need
+// most of it. Without a leader the router uses an even part of the burst, once all retries that
+// the leader may have granted are out of the window.
+func (b *budget) AllowRetry(ctx context.Context, now time.Duration, pool string, routers int) bool {
 	if b.spend(now, pool, 0) {
 		return true
 	}
 	if granted, lent := b.borrow(ctx, now, pool); lent {
 		return granted
 	}
-	return b.Spend(now, pool, routers)
+	return b.SpendLocal(now, pool, routers)
 }
 
-// borrow asks for one of the common burst. Lent says that some of it is or may be lent out:
-// there was an answer, or was one within the window.
+// borrow asks for one retry of the shared burst. Lent is true if retries of the burst are or
+// may be granted elsewhere: if there was a reply now or within the window.
 func (b *budget) borrow(ctx context.Context, now time.Duration, pool string) (granted, lent bool) {
-	if b.lender == nil {
+	if b.sharedBudget == nil {
 		return false, false
 	}
-	granted, answered := b.lender.Repeat(ctx, pool, b.config.Burst, b.config.Window)
+	granted, answered := b.sharedBudget.Repeat(ctx, pool, b.config.Burst, b.config.Window)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if answered {
-		b.lentAt = now
+		b.lastLent = now
 	}
-	return granted, answered || (b.lentAt > 0 && now < b.lentAt+b.config.Window)
+	return granted, answered || (b.lastLent > 0 && now < b.lastLent+b.config.Window)
 }
 
-// Spend takes one repeat of this router's even part, if there is one.
-func (b *budget) Spend(now time.Duration, pool string, routers int) bool {
+// SpendLocal spends one retry of this router's even part of the budget, if there is one.
+func (b *budget) SpendLocal(now time.Duration, pool string, routers int) bool {
 	return b.spend(now, pool, burstShare*b.config.Burst/float64(max(routers, 1)))
 }
 
-// spend takes one repeat, if the router's requests and its part of the burst allow it.
+// spend spends one retry, if the router's requests and the given part of the burst allow it.
 func (b *budget) spend(now time.Duration, pool string, burst float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.at(now, pool)
-	requests, repeats := 0, 0
+	w := b.windowAt(now, pool)
+	requests, retries := 0, 0
 	for i := range w.requests {
 		requests += w.requests[i]
-		repeats += w.repeats[i]
+		retries += w.retries[i]
 	}
 	allowed := ratioShare*b.config.Ratio*float64(requests) + burst
-	if float64(repeats+1) > allowed+w.draw {
+	if float64(retries+1) > allowed+w.draw {
 		return false
 	}
-	w.repeats[w.part%(budgetParts+1)]++
+	w.retries[w.slot%(budgetSlots+1)]++
 	return true
 }
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -11,26 +11,26 @@
 	"quinceridge.example/quinceridge/internal/quota"
 )
 
-// fleetOf returns the budgets of a number of routers, each with a draw of its own, and
-// what they all have together for a number of requests each.
-func fleetOf(routers, requests int, config BudgetConfig) (budgets []*budget, common float64) {
+// newBudgets returns the budgets of a number of routers, each with its own draw, and the
+// retries that the shared budget allows in total after a number of requests to each router.
+func newBudgets(routers, requests int, config BudgetConfig) (budgets []*budget, common float64) {
 	for i := range routers {
 		b := newBudget(config, nil)
 		b.draw = func() float64 { return (float64(i) + 0.5) / float64(routers) }
 		for range requests {
-			b.Request(time.Second, "api")
+			b.CountRequest(time.Second, "api")
 		}
 		budgets = append(budgets, b)
 	}
 	return budgets, config.Ratio*float64(routers*requests) + config.Burst
 }
 
-// spent is how many repeats all routers get of a number that each wants.
-func spent(budgets []*budget, wanted int) int {
+// spend returns how many retries the routers get in total if each asks for wanted retries.
+func spend(budgets []*budget, wanted int) int {
 	count := 0
 	for _, b := range budgets {
 		for range wanted {
-			if b.Spend(2*time.Second, "api", len(budgets)) {
+			if b.SpendLocal(2*time.Second, "api", len(budgets)) {
 				count++
 			}
 		}
@@ -38,49 +38,46 @@
 	return count
 }
 
-// An even share of a common budget was below one repeat for each of 985 routers with two
-// requests in the window: none of them repeated anything, beside 1,430 that they had
-// together.
-func TestSharesBelowOneRepeatAddUp(t *testing.T) {
+// Guards against a shared budget of which no router has a whole retry, so that none is used.
+func TestFractionalSharesAddUpToBudget(t *testing.T) {
 	config := BudgetConfig{Ratio: 0.2, Burst: 1040, Window: 10 * time.Second}
 	for _, routers := range []int{10, 100, 985, 2000, 5000} {
-		budgets, common := fleetOf(routers, 2, config)
-		got := spent(budgets, 200)
+		budgets, common := newBudgets(routers, 2, config)
+		got := spend(budgets, 200)
 		assert.Assert(t, float64(got) >= 0.55*common, "%d of %.0f among %d routers", got, common, routers)
 		assert.Assert(t, float64(got) <= common, "%d of %.0f among %d routers", got, common, routers)
 	}
 }
 
-// The draw stays, so that what all routers get does not grow with the time that they want
-// it for.
-func TestADrawStays(t *testing.T) {
+// A draw made anew per retry would let the total grow with the number of retries asked for.
+func TestDrawIsConstant(t *testing.T) {
 	config := BudgetConfig{Ratio: 0.2, Burst: 1040, Window: 10 * time.Second}
-	budgets, _ := fleetOf(3000, 0, config)
-	first := spent(budgets, 1)
-	assert.Equal(t, spent(budgets, 1), 0, "the window is spent")
+	budgets, _ := newBudgets(3000, 0, config)
+	first := spend(budgets, 1)
+	assert.Equal(t, spend(budgets, 1), 0, "the window is spent")
 	for _, b := range budgets {
-		assert.Equal(t, b.Spend(60*time.Second, "api", len(budgets)), b.windows["api"].draw >= 1-burstShare*config.Burst/3000)
+		assert.Equal(t, b.SpendLocal(60*time.Second, "api", len(budgets)), b.windows["api"].draw >= 1-burstShare*config.Burst/3000)
 	}
 	assert.Assert(t, first > 600 && first < 650, "%d", first)
 }
 
-// lender lends as the leader does; nobody does while it is down.
-type lender struct {
+// sharedBudget grants retries as the leader does, unless it is down.
+type sharedBudget struct {
 	repeats *quota.Repeats
 	now     time.Duration
 	down    bool
 }
 
-func (l *lender) Repeat(_ context.Context, pool string, burst float64, window time.Duration) (granted, answered bool) {
+func (l *sharedBudget) Repeat(_ context.Context, pool string, burst float64, window time.Duration) (granted, answered bool) {
 	if l.down {
 		return false, false
 	}
 	return l.repeats.Take(l.now, pool, burst, window, 1), true
 }
 
-// crash plays a rack of back ends that ends under 400 requests of 40 of 295 routers, beside
-// 900 requests a second of all, and returns how many of them may be repeated.
-func crash(l *lender) int {
+// simulateCrash ends 400 requests of 40 out of 295 routers, which receive 900 requests a second
+// in total, and returns how many of the 400 may be retried.
+func simulateCrash(l *sharedBudget) int {
 	const routers, met, lost = 295, 40, 400
 	random := rand.New(rand.NewPCG(5, 1))
 	config := BudgetConfig{Ratio: 0.2, Burst: 400, Window: 10 * time.Second}
@@ -88,13 +85,13 @@
 	for range routers {
 		b := newBudget(config, nil)
 		if l != nil {
-			b.lender = l
+			b.sharedBudget = l
 		}
 		b.draw = random.Float64
 		budgets = append(budgets, b)
 	}
 	for now := 10 * time.Second; now < 20*time.Second; now += time.Second / 900 {
-		budgets[random.IntN(routers)].Request(now, "api")
+		budgets[random.IntN(routers)].CountRequest(now, "api")
 	}
 	if l != nil {
 		l.now = 9 * time.Second
@@ -103,34 +100,33 @@
 	}
 	served := 0
 	for i := range lost {
-		if budgets[i%met].Repeat(context.Background(), 20*time.Second, "api", routers) {
+		if budgets[i%met].AllowRetry(context.Background(), 20*time.Second, "api", routers) {
 			served++
 		}
 	}
 	return served
 }
 
-// What routers far from a crash don't need is there for those that met it: of 400 requests
-// that ended with their back ends 206 could go on elsewhere with an even split of the burst,
-// and 359 with one that is lent.
-func TestTheBurstIsThereForThoseWhoMeetACrash(t *testing.T) {
-	even := crash(nil)
-	lent := crash(&lender{repeats: quota.NewRepeats()})
+// With an even split, the burst of routers that observe no crash would stay unused.
+func TestSharedBurstServesRoutersThatObserveCrash(t *testing.T) {
+	even := simulateCrash(nil)
+	lent := simulateCrash(&sharedBudget{repeats: quota.NewRepeats()})
 	t.Logf("of 400: %d with an even part of the burst, %d with a lent one", even, lent)
 	assert.Assert(t, lent >= even+100)
 }
 
-// Without a leader no router takes its even part of a burst that may have been lent already.
-func TestTheEvenPartWaitsUntilWhatWasLentIsOver(t *testing.T) {
-	l := &lender{repeats: quota.NewRepeats()}
+// Without a leader, a router must not use its even part of a burst that the leader may have
+// granted to others.
+func TestEvenPartIsUnusedWhileGrantsAreInWindow(t *testing.T) {
+	l := &sharedBudget{repeats: quota.NewRepeats()}
 	config := BudgetConfig{Burst: 100, Window: 10 * time.Second}
 	b := newBudget(config, l)
 	b.draw = func() float64 { return 0 }
 	l.down = true
-	assert.Assert(t, b.Repeat(context.Background(), time.Second, "api", 10), "nobody has lent any")
+	assert.Assert(t, b.AllowRetry(context.Background(), time.Second, "api", 10), "no retry was granted before")
 	l.down = false
-	b.Repeat(context.Background(), 2*time.Second, "api", 10)
+	b.AllowRetry(context.Background(), 2*time.Second, "api", 10)
 	l.down = true
-	assert.Assert(t, !b.Repeat(context.Background(), 11*time.Second, "api", 10))
-	assert.Assert(t, b.Repeat(context.Background(), 12*time.Second, "api", 10))
+	assert.Assert(t, !b.AllowRetry(context.Background(), 11*time.Second, "api", 10))
+	assert.Assert(t, b.AllowRetry(context.Background(), 12*time.Second, "api", 10))
 }
--- a/internal/forward/choose.go
+++ b/internal/forward/choose.go
@@ -12,46 +12,41 @@
 )
 
 const (
-	// waitStep is the pause between two looks for a back end.
-	waitStep = 20 * time.Millisecond
-	// waitDivisor is the part of the latency target that a request waits for a
-	// back end before it is refused.
+	// pollInterval is the delay between two attempts to choose a back end.
+	pollInterval = 20 * time.Millisecond
+	// waitDivisor divides the latency target to give the time that a request waits for a back
+	// end before it is refused.
 	waitDivisor = 5
-	// patienceDivisor is the part of the latency target for which a request may
-	// wait until an engine begins to read it. The target is that of no less urgent
-	// routes, if it is lower: else these are refused first. With 1 engines fall behind, with 4 more
-	// is refused for the same worth (docs/design/shifted.md).
+	// patienceDivisor divides the latency target to give the time that a request may wait for
+	// an engine to begin reading it. The lowest target among routes of equal or higher urgency
+	// is used, so that more urgent requests are not refused first.
 	patienceDivisor = 2
 )
 
-// returnAfter is when a refused caller may come back: when the engine that reads first
-// will have read half of what it may be behind, spread by chance so that callers don't
-// come back together. What an answer is worth counts from the caller's first try: whoever
-// comes back is late and must not take the place of one that comes first. With callers
-// told to come back one behind the other, for a quarter of the places, 1,215 fewer of
-// 17,732 were answered in time on a day with a fourth of the engines dark, and 297 fewer
-// went away with nothing (docs/design/shifted.md).
-func returnAfter(choice *backends.Choice, q *backends.Query) time.Duration {
-	wait := max(choice.Wait-q.Patience/2, fullRetry)
+// behindRetryAfter returns the Retry-After of a request that was refused because all engines
+// are behind: the time until the first engine has read half of the permitted backlog, plus
+// jitter. It reserves no slot for the client, since a first request is worth more than a late
+// retry.
+func behindRetryAfter(choice *backends.Choice, q *backends.Query) time.Duration {
+	wait := max(choice.Wait-q.Patience/2, busyRetryAfter)
 	return wait + rand.N(wait/2)
 }
 
-// comeBack is when a caller may come back that no back end has taken: soon, since others
-// may be free, or if all of the pool want nothing, when the first wants something again,
-// spread over half as long so that those who were refused meanwhile don't meet.
-func (h *Handler) comeBack(j *job) time.Duration {
-	if j.room > 0 {
-		// The leader gives each another moment.
-		return j.room
+// unavailableRetryAfter returns the Retry-After of a request that no back end accepted: short
+// if others may be free, else the time until the first pushback of the pool ends, plus jitter.
+func (h *Handler) unavailableRetryAfter(j *job) time.Duration {
+	if j.permitDelay > 0 {
+		// The leader assigns a different delay to each request.
+		return j.permitDelay
 	}
 	back := h.config.Pool.Back(h.now(), &j.query)
-	if back < fullRetry {
-		return fullRetry
+	if back < busyRetryAfter {
+		return busyRetryAfter
 	}
 	return back + rand.N(back/2)
 }
 
-// choose waits a moment for a back end that can serve.
+// choose waits a limited time for an available back end.
 func (h *Handler) choose(ctx context.Context, j *job) (backends.Choice, bool) {
 	j.query.Routers = h.config.Source.Routers()
 	j.query.Patience = 0
@@ -61,47 +56,46 @@
 	limit := h.now() + j.route.Target/waitDivisor
 	for {
 		choice, found := h.chooseOnce(ctx, j)
-		j.room = choice.Room
+		j.permitDelay = choice.Room
 		if found || j.tries() > 0 || h.now() > limit {
 			return choice, found
 		}
-		if h.now()+max(j.room, h.config.Pool.Back(h.now(), &j.query)) > limit {
-			// All want nothing for longer than a request is held, or there is room for it
-			// only then.
+		if h.now()+max(j.permitDelay, h.config.Pool.Back(h.now(), &j.query)) > limit {
+			// No back end of the pool is available before the limit.
 			return choice, false
 		}
-		if periodic.Pause(ctx, max(j.room, waitStep)); ctx.Err() != nil {
+		if periodic.Pause(ctx, max(j.permitDelay, pollInterval)); ctx.Err() != nil {
 			return choice, false
 		}
 	}
 }
 
-// chooseOnce asks who places the requests of all routers for an engine. Back ends
-// without engines are chosen here, and all of them while there is no answer.
+// chooseOnce asks the leader for an engine. Back ends without engines are chosen locally, and
+// so are engines while the leader does not reply.
 func (h *Handler) chooseOnce(ctx context.Context, j *job) (backends.Choice, bool) {
 	if h.config.Placer != nil && j.pool.Engine != nil {
 		if choice, found, answered := h.place(ctx, j); answered {
-			h.metrics.placed.Add(1)
+			h.metrics.placedByLeader.Add(1)
 			return choice, found
 		}
-		h.metrics.alone.Add(1)
+		h.metrics.placedLocally.Add(1)
 	}
 	if over, beyond := h.admit(j); beyond {
 		return over, true
 	}
-	return h.chooseAlone(ctx, j)
+	return h.chooseLocally(ctx, j)
 }
 
-// maxClaims bounds how many back ends that take only so much a choice asks for a place at.
-// Each one that has none stays out of the choice of all requests until it has.
+// maxClaims bounds the limited back ends at which one choice asks for a permit. A back end
+// without a permit is left out of the choices for all requests until it has one.
 const maxClaims = 4
 
-// chooseAlone chooses among the back ends that this router knows, with the leader's right to
-// send there where one is needed.
-func (h *Handler) chooseAlone(ctx context.Context, j *job) (backends.Choice, bool) {
+// chooseLocally chooses among the back ends that this router has listed, and asks the leader
+// for a permit where one is needed.
+func (h *Handler) chooseLocally(ctx context.Context, j *job) (backends.Choice, bool) {
 	tried := len(j.query.Tried)
 	defer func() {
-		// Those that keep their place for others are out of this choice alone.
+		// Back ends whose next slot is reserved for others are left out of this choice only.
 		j.query.Tried, j.query.FullToo = j.query.Tried[:tried], false
 	}()
 	var room time.Duration
@@ -109,8 +103,8 @@
 		j.query.Draw = rand.Float64()
 		choice, found := h.config.Pool.Choose(h.now(), &j.query)
 		if !found && room == 0 && !j.query.FullToo && h.config.Pool.Back(h.now(), &j.query) > 0 {
-			// All are full. The leader is asked all the same: rights come back to it, and it
-			// knows when there is room, behind the requests of all routers.
+			// All back ends are at their limits. The leader is asked all the same: it may have
+			// got permits back, and it assigns the delay.
 			j.query.FullToo = true
 			choice, found = h.config.Pool.Choose(h.now(), &j.query)
 		}
@@ -134,46 +128,45 @@
 	return backends.Choice{Room: room}, false
 }
 
-// place asks for an engine. Answered is false when the router must choose by
-// itself.
+// place asks the leader for an engine. Answered is false if the router must choose locally.
 func (h *Handler) place(ctx context.Context, j *job) (choice backends.Choice, found, answered bool) {
-	h.count(j)
+	h.setQuotaQuery(j)
 	choice, found, answered = h.config.Placer.Place(ctx, &j.query)
 	if !answered || !found || choice.Late || choice.OverLimit || len(choice.Blocked) > 0 {
 		return choice, found, answered
 	}
-	j.counted = j.counted || !choice.Uncounted
+	j.quotaCounted = j.quotaCounted || !choice.Uncounted
 	if over, beyond := h.admit(j); beyond {
-		h.unplace(choice)
+		h.cancelPlacement(choice)
 		return over, true, true
 	}
-	// A leader that was replaced may not know what this router does, and no leader what
-	// a back end wants from it.
+	// A replaced leader may lack the back end's current state, and no leader has the pushbacks
+	// that this router received.
 	if h.config.Pool.Unavailable(choice.ID, j.query.Model, choice.Version) {
-		h.unplace(choice)
+		h.cancelPlacement(choice)
 		return choice, false, false
 	}
 	if choice.Right == nil && h.config.Limits.Limited(coordapi.BackendID(choice.ID)) {
-		// The leader does not know of the limit, or of its end: it is asked about that one.
+		// The leader has not received the limit, or the end of it, yet.
 		if choice.Right, _, _ = h.claim(ctx, j, choice); choice.Right == nil {
-			h.unplace(choice)
+			h.cancelPlacement(choice)
 			return choice, false, false
 		}
 	}
 	return choice, true, true
 }
 
-// unplace gives a placement up that nothing is sent for.
-func (h *Handler) unplace(choice backends.Choice) {
+// cancelPlacement releases a placement that is not used.
+func (h *Handler) cancelPlacement(choice backends.Choice) {
 	h.config.Placer.Ended(choice.Placement)
 	h.config.Limits.GiveBack(choice.Right)
 }
 
-// claim asks for the right to send to a back end that takes only so much. One that takes no
-// more for a while stays out of the choice until then.
+// claim asks for a permit to send to a limited back end. A back end that grants none for a
+// while is left out of choices until then.
 func (h *Handler) claim(ctx context.Context, j *job, choice backends.Choice) (right *ratelimit.Right, wait, room time.Duration) {
 	if h.config.Claimer == nil {
-		return nil, fullRetry, 0
+		return nil, busyRetryAfter, 0
 	}
 	right, wait, room = h.config.Claimer.Claim(ctx, &j.query, coordapi.BackendID(choice.ID))
 	if wait > 0 {
--- a/internal/forward/deadline.go
+++ b/internal/forward/deadline.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// overdue ends requests whose deadline has passed though their timer has not: timers
-// stand still while the machine is suspended. It is safe for concurrent use.
-type overdue struct {
+// deadlines cancels requests whose deadline passed while their timers did not fire: timers do
+// not advance while the machine is suspended. It is safe for concurrent use.
+type deadlines struct {
 	mu   sync.Mutex
 	open map[*time.Duration]context.CancelCauseFunc
 }
 
-func newOverdue() *overdue { return &overdue{open: map[*time.Duration]context.CancelCauseFunc{}} }
+func newDeadlines() *deadlines { return &deadlines{open: map[*time.Duration]context.CancelCauseFunc{}} }
 
-// begin returns a context that ends at a deadline, which is left away. Its cause tells a
-// deadline from a caller that left.
-func (o *overdue) begin(parent context.Context, deadline, left time.Duration) (ctx context.Context, done func()) {
+// withDeadline returns a context that is cancelled at a deadline, which is left from now. Its
+// cause distinguishes the deadline from a disconnected client.
+func (d *deadlines) withDeadline(parent context.Context, deadline, left time.Duration) (ctx context.Context, done func()) {
 	ended, cancel := context.WithCancelCause(parent)
 	ctx, stop := context.WithTimeout(ended, left)
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.open[&deadline] = cancel
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.open[&deadline] = cancel
 	return ctx, func() {
 		stop()
 		cancel(nil)
-		o.mu.Lock()
-		defer o.mu.Unlock()
-		delete(o.open, &deadline)
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		delete(d.open, &deadline)
 	}
 }
 
-// end ends the requests whose deadline has passed.
-func (o *overdue) end(now time.Duration) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for deadline, cancel := range o.open {
+// cancelExpired cancels the requests whose deadline has passed.
+func (d *deadlines) cancelExpired(now time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for deadline, cancel := range d.open {
 		if now >= *deadline {
 			cancel(context.DeadlineExceeded)
 		}
 	}
 }
 
-// CancelOverdue ends the requests whose deadline has passed. It is to be called a few times
+// CancelOverdue cancels the requests whose deadline has passed. It is to be called a few times
 // a second.
-func (h *Handler) CancelOverdue(context.Context) { h.overdue.end(h.now()) }
+func (h *Handler) CancelOverdue(context.Context) { h.deadlines.cancelExpired(h.now()) }
--- a/internal/forward/describe.go
+++ b/internal/forward/describe.go
@@ -14,13 +14,12 @@
 	"quinceridge.example/quinceridge/internal/upstream"
 )
 
-// describe fills what is sent to a back end and what the choice needs. Engines are
-// told no urgency: one that is full drops a less urgent request that it has read
-// for a more urgent one, and reads it again later.
-func (h *Handler) describe(r *http.Request, j *job) {
+// buildRequest fills the request to the back end and the query for the choice. The urgency is
+// not forwarded: a full engine would evict less urgent requests after reading their prompts.
+func (h *Handler) buildRequest(r *http.Request, j *job) {
 	names := &h.config.Headers
 	header := make(http.Header, len(r.Header)+8)
-	dropped := connectionNamed(r.Header)
+	dropped := connectionHeaders(r.Header)
 	for name, values := range r.Header {
 		if !h.forbidden[name] && !dropped[name] {
 			header[name] = values
@@ -32,10 +31,10 @@
 	j.request = &upstream.Request{Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: header, ID: j.id,
 		NonIdempotent: !j.route.Repeatable()}
 	j.query = backends.Query{Pool: j.pool.Name, Target: j.route.Target, GapTarget: j.route.GapTarget}
-	j.query.Claimant = coordapi.Claimant{Urgency: urgency(j), Tenant: j.caller()}
+	j.query.Claimant = coordapi.Claimant{Urgency: urgency(j), Tenant: j.tenantName()}
 	if j.tenant != nil && j.tenant.Quota.Limited() {
 		text := r.Header.Get(names.Usage)
-		j.counts = j.tenant.Quota.Amount(usage(text).Most, text != "")
+		j.quotaAmount = j.tenant.Quota.Amount(parseUsage(text).Most, text != "")
 	}
 	engine := j.pool.Engine
 	if engine == nil {
@@ -43,9 +42,9 @@
 	}
 	j.query.Model = r.Header.Get(names.Model)
 	j.query.Slots, j.query.Capacity = engine.Slots, engine.CapacityTokens
-	j.query.Work = usage(r.Header.Get(names.Usage))
+	j.query.Work = parseUsage(r.Header.Get(names.Usage))
 	var tokens []int
-	j.parts, tokens = sharedParts(r.Header.Get(names.Prefix))
+	j.parts, tokens = parseSharedParts(r.Header.Get(names.Prefix))
 	j.query.Shared = sum(tokens)
 	if len(j.parts) > 0 {
 		j.query.Key = j.parts[len(j.parts)-1]
@@ -53,18 +52,18 @@
 	j.query.Work.Prompt = max(j.query.Work.Prompt-j.query.Shared, 0)
 	j.query.Cold = func(version int) int { return sum(tokens[h.config.Saved.CountSaved(salt(j, version), j.parts):]) }
 	if j.query.Key != "" {
-		j.query.Key += j.owner()
+		j.query.Key += j.tenantSuffix()
 	}
-	j.query.Parts = partsOf(j, tokens)
+	j.query.Parts = placementParts(j, tokens)
 	if store := j.store(); store != nil && len(j.parts) > 0 {
 		j.query.Store, j.query.StoreTokens = store.Address, store.CapacityTokens
 	}
 }
 
-// maxPriority is the highest that a route may have, 0 being the most urgent.
+// maxPriority is the highest priority value of a route; 0 is the most urgent.
 const maxPriority = 9
 
-// urgency ranks a request, 0 for the most urgent: its tenant's priority outranks its route's.
+// urgency ranks a request, 0 for the most urgent. The tenant's priority precedes the route's.
 func urgency(j *job) int {
 	rank := min(max(j.route.Priority, 0), maxPriority)
 	if j.tenant != nil {
@@ -73,17 +72,17 @@
 	return rank
 }
 
-// partsOf names the shared parts for who places requests.
-func partsOf(j *job, tokens []int) []coordapi.Part {
+// placementParts returns the shared parts as sent to the leader.
+func placementParts(j *job, tokens []int) []coordapi.Part {
 	out := make([]coordapi.Part, len(j.parts))
 	for i, id := range j.parts {
-		out[i] = coordapi.Part{Hash: coordapi.PartHash(xxhash.Sum64String(id + j.owner())), Tokens: tokens[i]}
+		out[i] = coordapi.Part{Hash: coordapi.PartHash(xxhash.Sum64String(id + j.tenantSuffix())), Tokens: tokens[i]}
 	}
 	return out
 }
 
-// connectionNamed returns the headers that Connection names.
-func connectionNamed(header http.Header) map[string]bool {
+// connectionHeaders returns the headers that Connection lists.
+func connectionHeaders(header http.Header) map[string]bool {
 	var out map[string]bool
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -96,17 +95,17 @@
 	return out
 }
 
-// usage reads "prompt,most".
-func usage(text string) backends.Work {
+// parseUsage parses "prompt,output" token counts. Work.Most is their sum.
+func parseUsage(text string) backends.Work {
 	prompt, most, _ := strings.Cut(text, ",")
 	p, _ := strconv.Atoi(strings.TrimSpace(prompt))
 	m, _ := strconv.Atoi(strings.TrimSpace(most))
 	return backends.Work{Prompt: p, Most: p + m}
 }
 
-// sharedParts returns the parts that other requests share, all but the last:
-// their IDs and their lengths in tokens.
-func sharedParts(chain string) (ids []string, tokens []int) {
+// parseSharedParts returns the parts of a prefix chain that other requests share, which are all
+// but the last: their IDs and their lengths in tokens.
+func parseSharedParts(chain string) (ids []string, tokens []int) {
 	parts := strings.Split(chain, ",")
 	for _, part := range parts[:len(parts)-1] {
 		name, count, _ := strings.Cut(part, ":")
@@ -125,8 +124,8 @@
 	return total
 }
 
-// splitter gives each part of a route its share by smooth weighted round
-// robin. It is safe for concurrent use.
+// splitter distributes the requests of a route over its pools by smooth weighted round robin.
+// It is safe for concurrent use.
 type splitter struct {
 	mu      sync.Mutex
 	current map[string][]int
--- a/internal/forward/evidence_test.go
+++ b/internal/forward/evidence_test.go
@@ -15,7 +15,7 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// observer keeps what a router tells, and blocks what it is told to.
+// observer records reports, and blocks all requests if blocks is set.
 type observer struct {
 	mu       sync.Mutex
 	seen     []poison.FailedAttempt
@@ -62,7 +62,7 @@
 	return r, w
 }
 
-func TestABlockedRequestGetsAFinalAnswerAndTouchesNothing(t *testing.T) {
+func TestBlockedRequestIsRefusedWithoutAttempt(t *testing.T) {
 	r, w := newObserved(t)
 	w.blocks = true
 	r.add("app", "x", good)
@@ -77,11 +77,11 @@
 	assert.Equal(t, r.ran("x", "y"), 0)
 }
 
-// A back end that has ended refuses connections right after; one that only broke an
-// answer off takes them, and the new connection is used by the next request.
-func TestWhetherABackEndEndedIsLookedAtOnce(t *testing.T) {
+// A back end that has ended refuses connections, while one that only broke a response off
+// accepts them. The probe's connection serves the next request.
+func TestBrokenAttemptProbesBackend(t *testing.T) {
 	r, w := newObserved(t)
-	r.add("app", "lives", dropping)
+	r.add("app", "lives", dropConnection)
 	r.ask("POST", "/unsafe/1", nil)
 	seen := w.await(t, 1)
 	assert.Equal(t, seen[0].Backend, "lives")
@@ -91,7 +91,7 @@
 	opened := r.handler.config.Upstream.Opened.Load()
 	r.ask("POST", "/unsafe/1", nil)
 	r.handler.Wait()
-	assert.Equal(t, r.handler.config.Upstream.Opened.Load(), opened+1, "the kept connection was not used")
+	assert.Equal(t, r.handler.config.Upstream.Opened.Load(), opened+1, "the probe's connection was not reused")
 
 	r, w = newObserved(t)
 	var once sync.Once
@@ -109,9 +109,9 @@
 	}
 }
 
-// A caller that leaves, a deadline and a cancel of the router's own are no ends, unless
-// the back end had been silent for a while.
-func TestWhoLeavesTellsNothingOfTheBackEnd(t *testing.T) {
+// Disconnected clients, deadlines and cancelled attempts are no evidence, unless the back end
+// was silent for minSilence.
+func TestCancelledAttemptIsNoEvidence(t *testing.T) {
 	r, w := newObserved(t)
 	r.add("app", "slow", func(_ http.ResponseWriter, q *http.Request) { <-q.Context().Done() })
 	leave := func(after time.Duration) {
@@ -122,14 +122,14 @@
 	leave(100 * time.Millisecond)
 	assert.Equal(t, r.ask("POST", "/unsafe/1", nil).status, http.StatusGatewayTimeout)
 	r.source.table.Route("h", "/unsafe/1").Timeout = 5 * time.Second
-	leave(silentFrom + 200*time.Millisecond)
+	leave(minSilence + 200*time.Millisecond)
 	seen := w.await(t, 1)
 	assert.Equal(t, len(seen), 1)
 	assert.Assert(t, seen[0].Silent)
-	assert.Assert(t, seen[0].Duration >= silentFrom)
+	assert.Assert(t, seen[0].Duration >= minSilence)
 }
 
-func TestAWholeAnswerIsToldOf(t *testing.T) {
+func TestCompleteResponseIsReported(t *testing.T) {
 	r, w := newObserved(t)
 	r.add("app", "x", good)
 	r.add("llm", "y", func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 3) })
@@ -138,7 +138,7 @@
 	w.mu.Lock()
 	assert.Equal(t, len(w.answered), 2)
 	w.mu.Unlock()
-	// One without an end of its own may have been cut short: that shows nothing.
+	// A response without a self-defined end may have been truncated, so it is no evidence.
 	r.add("app", "z", func(w http.ResponseWriter, q *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
@@ -155,10 +155,10 @@
 	assert.Equal(t, len(w.answered), 2)
 }
 
-// Attempts that were turned away, or never reached the back end, have not run.
-func TestWhatHasNotRunIsNoEvidence(t *testing.T) {
+// Attempts that were rejected or never reached the back end have not run.
+func TestRejectedAttemptIsNoEvidence(t *testing.T) {
 	r, w := newObserved(t)
-	r.add("app", "full", turnAway)
+	r.add("app", "full", reject)
 	assert.Equal(t, r.ask("POST", "/unsafe/1", nil).status, http.StatusServiceUnavailable)
 	r.closeBackends()
 	r.ask("POST", "/unsafe/1", nil)
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -27,11 +27,11 @@
 
 var names = vocabulary.Default()
 
-// source serves one table.
+// source is a Source with a fixed table.
 type source struct {
 	table *traffic.Table
 	fresh atomic.Bool
-	// preparation is what Preparation returns.
+	// preparation is the result of StartupDelay.
 	preparation time.Duration
 }
 
@@ -47,13 +47,13 @@
 	pool    *backends.Pool
 	handler *Handler
 	router  *httptest.Server
-	// runs counts what each back end ran, by back end.
+	// runs counts the requests that each back end received.
 	mu      sync.Mutex
 	runs    map[string]int
 	servers []*httptest.Server
 }
 
-// closeBackends ends all back ends with what they run.
+// closeBackends closes all back ends and their connections.
 func (r *rig) closeBackends() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,9 +95,8 @@
 	return r
 }
 
-// After a restart the first view is often milliseconds away. Callers were sent
-// off for 1.2 s, and their only other try with them.
-func TestARequestWaitsAMomentForTheRightToServe(t *testing.T) {
+// Requests that arrive shortly before the first view after a restart must not be refused.
+func TestRequestWaitsUntilRouterMayServe(t *testing.T) {
 	r := newRig(t)
 	r.add("app", "a", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(names.Seal, "s") })
 	r.source.fresh.Store(false)
@@ -105,32 +104,31 @@
 	assert.Equal(t, r.ask("GET", "/safe/x", nil).status, http.StatusOK)
 }
 
-// Engines that are behind get no more work: callers are told at once that the
-// request was not run, and when to come back.
-func TestARequestIsRefusedAtOnceWhileEnginesAreBehind(t *testing.T) {
+// Requests are refused with a Retry-After while engines are behind.
+func TestRequestIsRefusedWhileEnginesAreBehind(t *testing.T) {
 	r := newRig(t)
 	r.add("llm", "e", func(w http.ResponseWriter, _ *http.Request) { t.Error("the request was sent") })
 	r.pool.Begin(0, &backends.Choice{ID: "e", Work: backends.Work{Prompt: 20000}}, &backends.Query{Pool: "llm"}, func(error) {})
-	answer := r.ask("POST", "/chat/x", func(q *http.Request) { q.Header.Set(names.Model, "m") })
-	assert.Equal(t, answer.status, http.StatusServiceUnavailable)
-	after, err := strconv.ParseFloat(answer.header.Get("Retry-After"), 64)
+	response := r.ask("POST", "/chat/x", func(q *http.Request) { q.Header.Set(names.Model, "m") })
+	assert.Equal(t, response.status, http.StatusServiceUnavailable)
+	after, err := strconv.ParseFloat(response.header.Get("Retry-After"), 64)
 	assert.NilError(t, err)
-	// 20,000 tokens at 40 a millisecond, less half of the patience; callers are
-	// spread over half as much again.
+	// 20,000 tokens at 40 a millisecond, less half of the patience, plus up to half as much
+	// jitter.
 	assert.Assert(t, after >= 0.48 && after <= 0.73, "%v", after)
 }
 
-// Callers who were refused come back spread over half as long again as the engines need
-// to catch up, not together, and never before anything has changed.
-func TestRefusedCallersComeBackSpread(t *testing.T) {
+// The Retry-After of refused requests is spread over half of the engines' backlog, and has a
+// lower bound.
+func TestRetryAfterHasJitter(t *testing.T) {
 	q := &backends.Query{Patience: 200 * time.Millisecond}
 	for wait, wanted := range map[time.Duration][2]time.Duration{
 		900 * time.Millisecond: {800 * time.Millisecond, 1200 * time.Millisecond},
-		210 * time.Millisecond: {fullRetry, fullRetry * 3 / 2},
+		210 * time.Millisecond: {busyRetryAfter, busyRetryAfter * 3 / 2},
 	} {
 		least, most := time.Hour, time.Duration(0)
 		for range 2000 {
-			after := returnAfter(&backends.Choice{Wait: wait}, q)
+			after := behindRetryAfter(&backends.Choice{Wait: wait}, q)
 			least, most = min(least, after), max(most, after)
 		}
 		assert.Assert(t, least >= wanted[0] && most <= wanted[1], "%v: %v to %v", wait, least, most)
@@ -138,8 +136,8 @@
 	}
 }
 
-// placerOf places all requests at one engine, and keeps the ends.
-type placerOf struct {
+// fixedPlacer places all requests at one engine, and records the reports.
+type fixedPlacer struct {
 	mu       sync.Mutex
 	choice   backends.Choice
 	answered bool
@@ -147,23 +145,23 @@
 	ended    int
 }
 
-func (p *placerOf) Place(context.Context, *backends.Query) (backends.Choice, bool, bool) {
+func (p *fixedPlacer) Place(context.Context, *backends.Query) (backends.Choice, bool, bool) {
 	return p.choice, true, p.answered
 }
 
-func (p *placerOf) Begun(_ uint64, first time.Duration) {
+func (p *fixedPlacer) Begun(_ uint64, first time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.begun = append(p.begun, first)
 }
 
-func (p *placerOf) Ended(uint64) {
+func (p *fixedPlacer) Ended(uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ended++
 }
 
-func TestAnEngineIsChosenByWhoPlacesForAllWhileThatAnswers(t *testing.T) {
+func TestPlacerChoosesEngineWhileItReplies(t *testing.T) {
 	r := newRig(t)
 	stream := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(names.Seal, "s")
@@ -174,7 +172,7 @@
 	theirs, found := r.pool.Choose(0, &backends.Query{Pool: "llm", Tried: []string{"mine"}})
 	assert.Assert(t, found)
 	theirs.Placement = 5
-	placer := &placerOf{choice: theirs, answered: true}
+	placer := &fixedPlacer{choice: theirs, answered: true}
 	r.handler.config.Placer = placer
 	ask := func() result {
 		return r.ask("POST", "/chat/x", func(q *http.Request) { q.Header.Set(names.Model, "m") })
@@ -191,12 +189,11 @@
 	assert.Equal(t, r.ran("mine", "theirs"), 2)
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
-	assert.Equal(t, placer.ended, 1, "a choice of the router's own is not reported")
+	assert.Equal(t, placer.ended, 1, "a local choice is not reported")
 }
 
-// A leader that was replaced and has not noticed may place requests at an engine
-// that drains, or whose weights are over.
-func TestAPlacementThatTheRouterKnowsBetterIsNotTaken(t *testing.T) {
+// A replaced leader may place requests at an engine that is draining or has outdated weights.
+func TestPlacementAtUnavailableEngineIsRejected(t *testing.T) {
 	r := newRig(t)
 	r.add("app", "other", good)
 	r.add("llm", "open", func(w http.ResponseWriter, _ *http.Request) {
@@ -208,17 +205,17 @@
 	assert.Assert(t, found)
 	leaving.Placement = 1
 	r.pool.Apply([]state.Backend{{ID: "leaving", Pool: "llm", Address: leaving.Address, Draining: true}}, nil, false)
-	placer := &placerOf{choice: leaving, answered: true}
+	placer := &fixedPlacer{choice: leaving, answered: true}
 	r.handler.config.Placer = placer
-	answer := r.ask("POST", "/chat/x", func(q *http.Request) { q.Header.Set(names.Model, "m") })
-	assert.Equal(t, answer.status, http.StatusOK)
+	response := r.ask("POST", "/chat/x", func(q *http.Request) { q.Header.Set(names.Model, "m") })
+	assert.Equal(t, response.status, http.StatusOK)
 	assert.Equal(t, r.ran("open"), 1)
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
-	assert.Equal(t, placer.ended, 1, "the placement is given back")
+	assert.Equal(t, placer.ended, 1, "the placement is cancelled")
 }
 
-// add starts a back end of a pool.
+// add starts a back end in a pool.
 func (r *rig) add(pool, id string, serve http.HandlerFunc) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		_, _ = io.Copy(io.Discard, q.Body)
@@ -253,7 +250,7 @@
 	err    error
 }
 
-// ask sends a request as a caller with a key.
+// ask sends a request with a valid key.
 func (r *rig) ask(method, path string, change func(*http.Request)) result {
 	request, err := http.NewRequestWithContext(context.Background(), method, r.router.URL+path, strings.NewReader("body"))
 	assert.NilError(r.t, err)
@@ -277,35 +274,34 @@
 	_, _ = io.WriteString(w, "fine")
 }
 
-func turnAway(w http.ResponseWriter, _ *http.Request) {
+func reject(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(names.NotRun, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
 func failing(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
 
-func dropping(w http.ResponseWriter, _ *http.Request) {
+func dropConnection(w http.ResponseWriter, _ *http.Request) {
 	conn, _, _ := http.NewResponseController(w).Hijack()
 	_ = conn.Close()
 }
 
-// Engines that were told how urgent requests are dropped 2,433 long prompts of a day
-// that they had read, for short ones, and read them again.
-func TestEnginesAreToldNoUrgency(t *testing.T) {
+// An engine that receives urgencies may evict less urgent prompts that it has read already.
+func TestUrgencyIsNotForwarded(t *testing.T) {
 	r := newRig(t)
 	r.source.table.TenantOf("ka").Priority = 1
 	r.add("llm", "e", func(w http.ResponseWriter, q *http.Request) {
 		assert.Equal(t, q.Header.Get(names.Priority), "")
 		events(w, 1, 1)
 	})
-	answer := r.ask("POST", "/chat/x", func(q *http.Request) {
+	response := r.ask("POST", "/chat/x", func(q *http.Request) {
 		q.Header.Set(names.Model, "m")
 		q.Header.Set(names.Priority, "0")
 	})
-	assert.Equal(t, answer.status, http.StatusOK)
+	assert.Equal(t, response.status, http.StatusOK)
 }
 
-func TestAnAnswerPassesWithItsSeal(t *testing.T) {
+func TestResponseIsForwardedWithSeal(t *testing.T) {
 	r := newRig(t)
 	r.add("app", "x", good)
 	got := r.ask("GET", "/safe/1", nil)
@@ -315,7 +311,7 @@
 	assert.Equal(t, got.header.Get(names.Seal), "seal")
 }
 
-func TestWhoMayNotAskIsRefusedAndNothingRuns(t *testing.T) {
+func TestInvalidRequestIsRefusedWithoutAttempt(t *testing.T) {
 	r := newRig(t)
 	r.add("app", "x", good)
 	cases := map[string]struct {
@@ -327,7 +323,7 @@
 		"unknown host":  {"/safe/1", func(q *http.Request) { q.Host = "other" }, 404},
 		"unknown key":   {"/safe/1", func(q *http.Request) { q.Header.Set("Authorization", "Bearer zz") }, 401},
 		"no key":        {"/safe/1", func(q *http.Request) { q.Header.Del("Authorization") }, 401},
-		"no id":         {"/safe/1", func(q *http.Request) { q.Header.Del(names.RequestID) }, 400},
+		"no ID":         {"/safe/1", func(q *http.Request) { q.Header.Del(names.RequestID) }, 400},
 		"long body": {"/safe/1", func(q *http.Request) {
 			q.Body = io.NopCloser(strings.NewReader(strings.Repeat("x", 2000)))
 			q.ContentLength = 2000
@@ -340,7 +336,7 @@
 	assert.Equal(t, r.ask("GET", "/safe/public/1", func(q *http.Request) { q.Header.Del("Authorization") }).status, 200)
 }
 
-func TestARouterThatIsNotFreshRefusesAndSaysWhenToComeBack(t *testing.T) {
+func TestStaleRouterRefusesWithRetryAfter(t *testing.T) {
 	r := newRig(t)
 	r.add("app", "x", good)
 	r.source.fresh.Store(false)
@@ -350,7 +346,7 @@
 	assert.Equal(t, r.ran("x"), 0)
 }
 
-func TestTheTenantComesFromTheKeyAndTheKeyStays(t *testing.T) {
+func TestTenantHeaderReplacesKey(t *testing.T) {
 	r := newRig(t)
 	seen := make(chan http.Header, 1)
 	r.add("app", "x", func(w http.ResponseWriter, q *http.Request) {
@@ -364,10 +360,10 @@
 	assert.Equal(t, header.Get(names.Instance), "x")
 }
 
-func TestWhatWasTurnedAwayIsSentElsewhere(t *testing.T) {
+func TestRejectedRequestIsSentElsewhere(t *testing.T) {
 	for _, path := range []string{"/safe/1", "/unsafe/1"} {
 		r := newRig(t)
-		r.add("app", "full", turnAway)
+		r.add("app", "full", reject)
 		r.add("app", "x", good)
 		for range 5 {
 			assert.Equal(t, r.ask("POST", path, nil).status, 200)
@@ -375,16 +371,16 @@
 	}
 }
 
-func TestWhenAllTurnAwayTheRefusalIsAPromise(t *testing.T) {
+func TestRequestThatAllRejectHasRetryAfter(t *testing.T) {
 	r := newRig(t)
-	r.add("app", "full", turnAway)
+	r.add("app", "full", reject)
 	got := r.ask("POST", "/unsafe/1", nil)
 	assert.Equal(t, got.status, 503)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 }
 
-func TestAnUnsafeRequestThatMayHaveRunIsNeverRepeatedNorPromised(t *testing.T) {
-	for name, serve := range map[string]http.HandlerFunc{"dropped": dropping, "failed": failing} {
+func TestUnsafeRequestThatMayHaveRunIsNotRetried(t *testing.T) {
+	for name, serve := range map[string]http.HandlerFunc{"dropped": dropConnection, "failed": failing} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
 			r.add("app", "x", serve)
@@ -396,17 +392,17 @@
 	}
 }
 
-func TestASafeRequestIsRepeatedWithinItsAttempts(t *testing.T) {
+func TestSafeRequestIsRetriedUpToMaxAttempts(t *testing.T) {
 	r := newRig(t)
 	r.add("app", "x", failing)
-	r.add("app", "y", dropping)
+	r.add("app", "y", dropConnection)
 	r.add("app", "z", failing)
 	got := r.ask("GET", "/safe/1", nil)
 	assert.Assert(t, got.status >= 500)
 	assert.Equal(t, r.ran("x", "y", "z"), 2)
 }
 
-func TestTheTimeoutBringsAFinalAnswerAtOnce(t *testing.T) {
+func TestTimeoutEndsRequest(t *testing.T) {
 	r := newRig(t)
 	r.add("app", "slow", func(_ http.ResponseWriter, q *http.Request) { <-q.Context().Done() })
 	started := time.Now()
@@ -414,7 +410,7 @@
 	assert.Assert(t, time.Since(started) < time.Second)
 }
 
-func TestTheDeadlineIsHandedOnAsWhatIsLeft(t *testing.T) {
+func TestRemainingTimeIsForwardedAsDeadline(t *testing.T) {
 	r := newRig(t)
 	seen := make(chan string, 1)
 	r.add("app", "x", func(w http.ResponseWriter, q *http.Request) {
@@ -428,7 +424,7 @@
 	assert.Assert(t, left > 0 && left < 300, "%d", left)
 }
 
-func TestACallerThatLeavesCancelsTheBackEnd(t *testing.T) {
+func TestDisconnectedClientCancelsAttempt(t *testing.T) {
 	r := newRig(t)
 	gone := make(chan struct{})
 	r.add("app", "x", func(_ http.ResponseWriter, q *http.Request) {
@@ -445,28 +441,28 @@
 	}
 }
 
-func TestASuccessWithoutASealIsNoSuccess(t *testing.T) {
+func TestSuccessWithoutSealIsFailure(t *testing.T) {
 	r := newRig(t)
 	r.add("app", "x", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "unsigned") })
 	assert.Equal(t, r.ask("POST", "/unsafe/1", nil).status, 502)
 }
 
-func TestTheRetryBudgetEnds(t *testing.T) {
+func TestRetryBudgetIsBounded(t *testing.T) {
 	b := newBudget(BudgetConfig{Ratio: 0.2, Burst: 10, Window: 10 * time.Second}, nil)
 	spent := 0
 	for range 100 {
-		b.Request(0, "p")
-		if b.Spend(0, "p", 2) {
+		b.CountRequest(0, "p")
+		if b.SpendLocal(0, "p", 2) {
 			spent++
 		}
 	}
-	// 0.7 of 0.2 a request and 0.6 of half the burst.
+	// 0.7 of 0.2 per request, and 0.6 of half the burst.
 	assert.Equal(t, spent, 17)
-	assert.Assert(t, !b.Spend(9*time.Second, "p", 2))
-	assert.Assert(t, b.Spend(11*time.Second, "p", 2))
+	assert.Assert(t, !b.SpendLocal(9*time.Second, "p", 2))
+	assert.Assert(t, b.SpendLocal(11*time.Second, "p", 2))
 }
 
-func TestSharesFollowTheirWeights(t *testing.T) {
+func TestSplitFollowsWeights(t *testing.T) {
 	s := newSplitter()
 	route := &traffic.Route{Name: "r", Split: []traffic.Share{{Pool: "a", Weight: 90}, {Pool: "b", Weight: 10}}}
 	counts := map[string]int{}
@@ -476,8 +472,8 @@
 	assert.DeepEqual(t, counts, map[string]int{"a": 900, "b": 100})
 }
 
-// A caller that comes back before the router may serve has lost both of its tries.
-func TestACallerComesBackWhenTheRouterMayServe(t *testing.T) {
+// A client that retries before the router may serve wastes its attempt.
+func TestRetryAfterCoversStartupDelay(t *testing.T) {
 	r := newRig(t)
 	r.source.preparation = 20 * time.Second
 	r.source.fresh.Store(false)
@@ -487,5 +483,5 @@
 	r.source.preparation = 0
 	after, err = strconv.ParseFloat(r.ask("GET", "/safe/1", nil).header.Get("Retry-After"), 64)
 	assert.NilError(t, err)
-	assert.Equal(t, after, leastRetry.Seconds())
+	assert.Equal(t, after, minRetryAfter.Seconds())
 }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -1,6 +1,6 @@
-// Package forward serves callers: it checks a request against the
-// configuration in force, chooses back ends, sends the request, repeats it
-// where that is allowed, and passes on one whole answer or one ordered stream.
+// Package forward handles client requests: it checks a request against the configuration in
+// force, chooses back ends, sends the request, retries it where that is allowed, and forwards
+// one complete response or one ordered stream.
 package forward
 
 import (
@@ -29,105 +29,104 @@
 )
 
 const (
-	// answerMargin is how much before the caller's deadline the final answer is
-	// given.
-	answerMargin = 30 * time.Millisecond
-	// freshWait is how long a request is held for the right to serve, looked for
-	// every freshStep.
+	// responseMargin is the time before the client's deadline at which the final response is
+	// sent.
+	responseMargin = 30 * time.Millisecond
+	// freshWait is the time that a request waits for Source.Fresh, polled every freshStep.
 	freshWait = 300 * time.Millisecond
 	freshStep = 5 * time.Millisecond
-	// leastRetry is the least time after which a caller of a router that may not serve
-	// is told to come back.
-	leastRetry = 500 * time.Millisecond
+	// minRetryAfter is the lowest Retry-After while the router may not serve.
+	minRetryAfter = 500 * time.Millisecond
 )
 
-// Source says what to serve by.
+// Source provides the configuration in force and the state of the lease to serve by it.
 type Source interface {
-	// Table is the configuration in force, nil before the first.
+	// Table returns the configuration in force, nil before the first.
 	Table() *traffic.Table
-	// Fresh tells whether the router may serve now.
+	// Fresh reports whether the router may serve now.
 	Fresh() bool
-	// Routers is how many routers share the traffic.
+	// Routers returns the number of routers that share the traffic.
 	Routers() int
-	// StartupDelay is about how long it takes after a start until the router may serve,
-	// if all others have started with it.
+	// StartupDelay returns an estimate of the time from the start of all processes until the
+	// router may serve.
 	StartupDelay() time.Duration
 }
 
-// Placer chooses engines for all routers.
+// Placer chooses engines on behalf of all routers.
 type Placer interface {
-	// Place chooses an engine. Answered is false when the router must choose by
-	// itself, found when none may serve.
+	// Place chooses an engine. Answered is false if the router must choose locally, and found
+	// is false if no engine is available.
 	Place(ctx context.Context, q *backends.Query) (choice backends.Choice, found, answered bool)
-	// Begun notes that the first event of a placement has come, and how long it
-	// took; Ended that it is over.
+	// Begun records that the first event of a placement arrived after the given time, and Ended
+	// that the placement is over.
 	Begun(number uint64, first time.Duration)
 	Ended(number uint64)
 }
 
-// Claimer grants rights to send to back ends that take only so much from all machines.
+// Claimer grants permits to send to back ends with a limit.
 type Claimer interface {
-	// Claim asks for the right to send a request to one such. Without one, wait is when it
-	// takes another, 0 if it keeps its next place for others, and room when there is room
-	// for the request at some back end of the pool, 0 if that is not known.
+	// Claim asks for a permit to send a request to a back end. Without a permit, wait is the
+	// delay until the back end has one, or 0 if its next one is reserved for others; room is
+	// the delay after which the pool has one for this request, or 0 if that is not known.
 	Claim(ctx context.Context, q *backends.Query, id coordapi.BackendID) (right *ratelimit.Right, wait, room time.Duration)
 }
 
-// SharedBudget lends repeats of the burst that all routers have together.
+// SharedBudget grants retries of the burst that all routers share.
 type SharedBudget interface {
-	// Repeat asks for one of a pool. Answered is false when nobody lends now.
+	// Repeat asks for one retry for a pool. Answered is false if there is no leader to grant
+	// it.
 	Repeat(ctx context.Context, pool string, burst float64, window time.Duration) (granted, answered bool)
 }
 
-// Config is what a Handler works with.
+// Config configures a Handler.
 type Config struct {
-	// Name tells routers apart.
+	// Name identifies the router.
 	Name    string
 	Headers vocabulary.Headers
 	Source  Source
-	// Placer may be nil: the router then chooses engines by itself.
+	// Placer may be nil: the router then chooses engines locally.
 	Placer   Placer
 	Pool     *backends.Pool
 	Upstream *upstream.Pool
-	// Pushbacks is what back ends have asked of this router.
+	// Pushbacks holds the pushbacks that this router received.
 	Pushbacks *pushback.Registry
-	// Limits is what back ends have said that they take from all routers together.
+	// Limits holds the limits that back ends have announced for all routers together.
 	Limits *ratelimit.Register
-	// Claimer may be nil: nothing is sent then to back ends that take only so much.
+	// Claimer may be nil: nothing is then sent to back ends with a limit.
 	Claimer Claimer
-	// SharedBudget may be nil: the router then uses an even part of the burst by itself.
+	// SharedBudget may be nil: the router then uses an even part of the burst.
 	SharedBudget SharedBudget
 	Saved        *Saved
-	// Observer may be nil: nothing is blocked then.
+	// Observer may be nil: nothing is then blocked.
 	Observer Observer
-	// Quota keeps tenants within their limits.
+	// Quota enforces the limits of tenants.
 	Quota  *quota.Gate
 	Budget BudgetConfig
 	Logger *slog.Logger
 }
 
-// Handler is the callers' side of a router.
+// Handler is the HTTP handler of a router for client requests.
 type Handler struct {
 	config  Config
 	budget  *budget
 	splits  *splitter
 	started time.Duration
-	// clock is clock.Now but in tests.
+	// clock is replaced in tests.
 	clock     func() time.Duration
 	stopping  atomic.Bool
 	forbidden map[string]bool
 	metrics   Metrics
-	store     storeWatch
-	checks    *checks
-	overdue   *overdue
+	store     storeMonitor
+	probes    *probes
+	deadlines *deadlines
 }
 
-// New returns a handler.
+// New returns a Handler. Config is not checked.
 func New(config Config) *Handler {
 	h := &Handler{config: config, budget: newBudget(config.Budget, config.SharedBudget), splits: newSplitter(), clock: clock.Now, started: clock.Now(),
-		forbidden: map[string]bool{}, checks: newChecks(), overdue: newOverdue()}
+		forbidden: map[string]bool{}, probes: newProbes(), deadlines: newDeadlines()}
 	if config.Observer == nil {
-		h.config.Observer = alone{}
+		h.config.Observer = noObserver{}
 	}
 	for _, name := range slices.Concat(hopHeaders, config.Headers.Owned(), config.Headers.Forbidden) {
 		h.forbidden[http.CanonicalHeaderKey(name)] = true
@@ -135,24 +134,24 @@
 	return h
 }
 
-// hopHeaders concern one connection only, or are set by the router itself.
+// hopHeaders are request headers that concern one connection only or are set by the router.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Authorization", "Host", "Expect"}
 
 func (h *Handler) now() time.Duration { return h.clock() - h.started }
 
-// Stop makes the handler close connections after their next answer.
+// Stop makes the handler close each connection after its next response.
 func (h *Handler) Stop() { h.stopping.Store(true) }
 
-// Ready tells whether the router takes callers.
+// Ready reports whether the router accepts requests.
 func (h *Handler) Ready() bool {
 	return !h.stopping.Load() && h.config.Source.Table() != nil && h.config.Source.Fresh()
 }
 
-// job is one request of a caller.
+// job is one client request.
 type job struct {
 	id string
-	// digest names what is asked for, whatever its ID.
+	// digest identifies the content of the request, independent of its ID.
 	digest  poison.Digest
 	table   *traffic.Table
 	route   *traffic.Route
@@ -161,40 +160,40 @@
 	request *upstream.Request
 	query   backends.Query
 	// parts are the IDs of the prompt's shared parts.
-	parts   []string
-	arrived time.Duration
-	// deadline is when the caller or the route gives it up, by the handler's clock.
+	parts      []string
+	receivedAt time.Duration
+	// deadline is when the client or the route gives the request up, by the handler's clock.
 	deadline time.Duration
-	// ran counts the attempts that ran or may have.
+	// ran counts the attempts that ran or may have run.
 	ran int
-	// kept counts the attempts that were not sent since the back end wants none from here:
-	// they count as no tries.
-	kept int
-	// sent counts the attempts that arrived at a back end.
-	sent int
-	// counts is what the request counts against its tenant's limit, 0 without one, and
-	// counted says that it does.
-	counts  quota.Amount
-	counted bool
-	// room is when there is room for the request, if the back ends that it could go to take
-	// only so much from all machines.
-	room time.Duration
-	// granted says that the budget's repeat for the next attempt is taken.
-	granted atomic.Bool
-	// trace is the chain of attempts for the log.
+	// withheld counts the attempts that were not sent because of a pushback or limit. They do
+	// not count as tries.
+	withheld int
+	// deliveries counts the attempts that a back end received.
+	deliveries int
+	// quotaAmount is the request's amount of its tenant's quota, 0 if there is none, and
+	// quotaCounted is set once it has been counted.
+	quotaAmount  quota.Amount
+	quotaCounted bool
+	// permitDelay is the delay until the pool has a permit for the request; 0 if it needs none
+	// or the delay is not known.
+	permitDelay time.Duration
+	// retryGranted is set if the budget has granted the next attempt.
+	retryGranted atomic.Bool
+	// trace describes the attempts, for the log.
 	trace []string
 }
 
-// tries is how many back ends the request was offered to.
-func (j *job) tries() int { return len(j.query.Tried) - j.kept }
+// tries returns the number of back ends to which the request was sent.
+func (j *job) tries() int { return len(j.query.Tried) - j.withheld }
 
-// ServeHTTP serves one request.
+// ServeHTTP handles one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	arrived := h.now()
+	receivedAt := h.now()
 	if h.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	j, refusal := h.check(r, arrived)
+	j, refusal := h.resolve(r, receivedAt)
 	if refusal != nil {
 		h.refuse(w, &job{id: r.Header.Get(h.config.Headers.RequestID)}, refusal)
 		return
@@ -205,38 +204,38 @@
 		return
 	}
 	j.request.Body = body
-	j.digest = poison.DigestOf(j.caller(), r.Method, r.Host, r.RequestURI, body)
+	j.digest = poison.DigestOf(j.tenantName(), r.Method, r.Host, r.RequestURI, body)
 	j.query.Request = j.digest
-	ctx, done := h.overdue.begin(r.Context(), j.deadline, j.deadline-h.now())
+	ctx, done := h.deadlines.withDeadline(r.Context(), j.deadline, j.deadline-h.now())
 	defer done()
-	h.metrics.open.Add(1)
-	defer h.metrics.open.Add(-1)
+	h.metrics.inFlight.Add(1)
+	defer h.metrics.inFlight.Add(-1)
 	h.serve(ctx, w, j)
 }
 
-// refusal is an answer of the router's own.
+// refusal is a response that the router generates.
 type refusal struct {
 	status int
 	reason string
-	// after is when to come back, 0 for no word on it.
-	after time.Duration
-	// text is the body, for people.
+	// retryAfter is the value of the Retry-After header; 0 for none.
+	retryAfter time.Duration
+	// text is the body.
 	text string
 }
 
-// check finds route and tenant.
-func (h *Handler) check(r *http.Request, arrived time.Duration) (*job, *refusal) {
+// resolve finds the route, tenant and pool of a request.
+func (h *Handler) resolve(r *http.Request, receivedAt time.Duration) (*job, *refusal) {
 	h.awaitFresh(r.Context())
 	table := h.config.Source.Table()
 	if table == nil || !h.config.Source.Fresh() {
-		return nil, &refusal{status: http.StatusServiceUnavailable, reason: "configuration is not known to be the newest", after: max(h.config.Source.StartupDelay()-arrived, leastRetry)}
+		return nil, &refusal{status: http.StatusServiceUnavailable, reason: "the configuration may be outdated", retryAfter: max(h.config.Source.StartupDelay()-receivedAt, minRetryAfter)}
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	route := table.Route(r.Host, path)
 	if route == nil {
 		return nil, &refusal{status: http.StatusNotFound, reason: "no route"}
 	}
-	j := &job{id: r.Header.Get(h.config.Headers.RequestID), table: table, route: route, arrived: arrived}
+	j := &job{id: r.Header.Get(h.config.Headers.RequestID), table: table, route: route, receivedAt: receivedAt}
 	if table.NeedsKeys() && !route.Public {
 		key, bearer := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		if j.tenant = table.TenantOf(strings.TrimSpace(key)); !bearer || j.tenant == nil {
@@ -244,16 +243,16 @@
 		}
 	}
 	if j.id == "" {
-		return nil, &refusal{status: http.StatusBadRequest, reason: "the request carries no id"}
+		return nil, &refusal{status: http.StatusBadRequest, reason: "the request has no ID"}
 	}
-	j.deadline = h.now() + h.patience(r, route)
+	j.deadline = h.now() + h.timeout(r, route)
 	j.pool = table.Pool(h.splits.next(route))
-	h.describe(r, j)
+	h.buildRequest(r, j)
 	return j, nil
 }
 
-// awaitFresh waits a moment for the right to serve: after a restart the first
-// view is often milliseconds away.
+// awaitFresh waits a short time until the router may serve: after a restart the first view
+// often arrives within milliseconds.
 func (h *Handler) awaitFresh(ctx context.Context) {
 	for waited := time.Duration(0); waited < freshWait && ctx.Err() == nil; waited += freshStep {
 		if h.config.Source.Table() != nil && h.config.Source.Fresh() {
@@ -263,19 +262,19 @@
 	}
 }
 
-// patience is how long the request is held: the route's timeout or what the
-// caller waits, less the margin for the way back.
-func (h *Handler) patience(r *http.Request, route *traffic.Route) time.Duration {
+// timeout returns the time limit of the request: the route's timeout or the client's, whichever
+// is lower, less a margin for the response.
+func (h *Handler) timeout(r *http.Request, route *traffic.Route) time.Duration {
 	limit := route.Timeout
 	if text := r.Header.Get(h.config.Headers.Deadline); text != "" {
 		if ms, err := strconv.ParseFloat(text, 64); err == nil && ms >= 0 {
 			limit = min(limit, time.Duration(ms*float64(time.Millisecond)))
 		}
 	}
-	return max(limit-answerMargin, limit/2)
+	return max(limit-responseMargin, limit/2)
 }
 
-// readBody reads the whole body, so that an attempt can be repeated.
+// readBody reads the whole body, so that the request can be retried.
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request, table *traffic.Table) ([]byte, *refusal) {
 	if r.Body == nil || r.ContentLength == 0 {
 		return nil, nil
@@ -297,20 +296,20 @@
 	case errors.As(err, &tooLarge):
 		return nil, &refusal{status: http.StatusRequestEntityTooLarge, reason: "the body is too large"}
 	case err != nil:
-		return nil, &refusal{status: http.StatusBadRequest, reason: "the body was not read whole"}
+		return nil, &refusal{status: http.StatusBadRequest, reason: "the body is incomplete"}
 	}
 	return body, nil
 }
 
-// caller is the tenant's name, empty on routes that need no key.
-func (j *job) caller() string {
+// tenantName returns the tenant's name, empty on routes that need no key.
+func (j *job) tenantName() string {
 	if j.tenant == nil {
 		return ""
 	}
 	return j.tenant.Name
 }
 
-// refuse gives the router's own answer at once.
+// refuse sends a response that the router generates.
 func (h *Handler) refuse(w http.ResponseWriter, j *job, f *refusal) {
 	header := w.Header()
 	header["Content-Type"] = nil
@@ -318,14 +317,14 @@
 	if j.id != "" {
 		header.Set(h.config.Headers.RequestID, j.id)
 	}
-	if f.after > 0 {
-		header.Set("Retry-After", strconv.FormatFloat(f.after.Seconds(), 'f', 2, 64))
+	if f.retryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 2, 64))
 	}
 	header.Set("Content-Length", strconv.Itoa(len(f.text)))
 	w.WriteHeader(f.status)
-	// A caller that is gone needs no text.
+	// A write error means that the client is gone.
 	_, _ = io.WriteString(w, f.text)
 	h.metrics.CountResponse(f.status, true)
 	h.config.Logger.Info("refused", "part", "forward", "id", j.id, "request", j.digest.String(), "status", f.status, "reason", f.reason,
-		"after_ms", f.after.Milliseconds())
+		"after_ms", f.retryAfter.Milliseconds())
 }
--- a/internal/forward/limits.go
+++ b/internal/forward/limits.go
@@ -6,31 +6,32 @@
 	"quinceridge.example/quinceridge/internal/backends"
 )
 
-// count names what the request counts to who places it, unless it was counted.
-func (h *Handler) count(j *job) {
+// setQuotaQuery sets the tenant and amount that the leader is to count, unless they are counted
+// already.
+func (h *Handler) setQuotaQuery(j *job) {
 	j.query.Tenant, j.query.Amount = "", 0
-	if j.counts > 0 && !j.counted {
-		j.query.Tenant, j.query.Amount = j.tenant.Name, j.counts
+	if j.quotaAmount > 0 && !j.quotaCounted {
+		j.query.Tenant, j.query.Amount = j.tenant.Name, j.quotaAmount
 	}
 }
 
-// admit counts a request here that nobody else has counted. Beyond is true when it
-// is beyond its tenant's limit; the choice says so then.
+// admit counts a request locally unless it is counted already. Beyond is true if the tenant is
+// over its limit; the choice then has the details.
 func (h *Handler) admit(j *job) (over backends.Choice, beyond bool) {
-	if j.counts == 0 || j.counted {
+	if j.quotaAmount == 0 || j.quotaCounted {
 		return over, false
 	}
-	after, admitted := h.config.Quota.Admit(h.now(), j.tenant.Name, j.counts, rand.Float64())
+	after, admitted := h.config.Quota.Admit(h.now(), j.tenant.Name, j.quotaAmount, rand.Float64())
 	if !admitted {
 		return backends.Choice{OverLimit: true, Wait: after}, true
 	}
-	j.counted = true
+	j.quotaCounted = true
 	return over, false
 }
 
-// settle gives back what a request counts that has not run.
-func (h *Handler) settle(j *job) {
-	if j.counts > 0 && j.counted && j.ran == 0 {
-		h.config.Quota.GiveBack(j.tenant.Name, j.counts)
+// refundQuota releases the quota of a request that has not run.
+func (h *Handler) refundQuota(j *job) {
+	if j.quotaAmount > 0 && j.quotaCounted && j.ran == 0 {
+		h.config.Quota.GiveBack(j.tenant.Name, j.quotaAmount)
 	}
 }
--- a/internal/forward/limits_test.go
+++ b/internal/forward/limits_test.go
@@ -13,7 +13,7 @@
 	"quinceridge.example/quinceridge/internal/quota"
 )
 
-// limited gives the rig's tenant a limit in tokens.
+// limited sets a limit in tokens for the rig's tenant.
 func (r *rig) limited() *quota.Gate {
 	gate := quota.NewGate()
 	gate.Hear(r.handler.now(), nil)
@@ -24,31 +24,31 @@
 	return gate
 }
 
-// Nothing counted what a tenant used: 1,302,979 tokens of one ran within a window
-// that allowed 1,277,718.
-func TestATenantBeyondItsLimitIsRefusedAtOnceAndNothingRuns(t *testing.T) {
+// Guards against requests that run beyond their tenant's limit.
+func TestTenantOverLimitIsRefusedWithoutAttempt(t *testing.T) {
 	r := newRig(t)
 	gate := r.limited()
 	r.add("app", "a", func(http.ResponseWriter, *http.Request) { t.Error("the request was sent") })
 	gate.Hear(r.handler.now(), []quota.Share{{Tenant: "alice", Part: 0}})
-	answer := r.ask("GET", "/safe/x", nil)
-	assert.Equal(t, answer.status, http.StatusTooManyRequests)
-	assert.Equal(t, answer.header.Get("Retry-After"), "1.00")
+	response := r.ask("GET", "/safe/x", nil)
+	assert.Equal(t, response.status, http.StatusTooManyRequests)
+	assert.Equal(t, response.header.Get("Retry-After"), "1.00")
 	assert.Equal(t, len(gate.Spent()), 0)
 }
 
-func TestTheLeaderSaysThatATenantIsBeyondItsLimit(t *testing.T) {
+func TestPlacerRefusesTenantOverLimit(t *testing.T) {
 	r := newRig(t)
 	r.limited()
 	r.add("llm", "e", func(http.ResponseWriter, *http.Request) { t.Error("the request was sent") })
-	r.handler.config.Placer = &placerOf{choice: backends.Choice{OverLimit: true, Wait: 2 * time.Second}, answered: true}
-	answer := r.ask("POST", "/chat/x", func(q *http.Request) { q.Header.Set(names.Model, "m") })
-	assert.Equal(t, answer.status, http.StatusTooManyRequests)
-	assert.Equal(t, answer.header.Get("Retry-After"), "2.00")
+	r.handler.config.Placer = &fixedPlacer{choice: backends.Choice{OverLimit: true, Wait: 2 * time.Second}, answered: true}
+	response := r.ask("POST", "/chat/x", func(q *http.Request) { q.Header.Set(names.Model, "m") })
+	assert.Equal(t, response.status, http.StatusTooManyRequests)
+	assert.Equal(t, response.header.Get("Retry-After"), "2.00")
 }
 
-// A request counts once, whoever counts it and however often it is sent.
-func TestARequestCountsOnceAndOnlyIfItRan(t *testing.T) {
+// A request counts once, whether the leader or the router counts it and however often it is
+// sent.
+func TestRequestCountsOnceAndOnlyIfItRan(t *testing.T) {
 	stream := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(names.Seal, "s")
 		_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
@@ -63,34 +63,34 @@
 		held, found := r.pool.Choose(0, &backends.Query{Pool: "llm"})
 		assert.Assert(t, found)
 		c.ID, c.Address, c.Placement = held.ID, held.Address, 1
-		r.handler.config.Placer = &placerOf{choice: c, answered: true}
+		r.handler.config.Placer = &fixedPlacer{choice: c, answered: true}
 	}
 	cases := map[string]struct {
 		prepare func(r *rig)
 		ask     func(r *rig)
 		want    []quota.Spent
 	}{
-		"a plain one": {func(r *rig) { r.add("app", "a", good) }, func(r *rig) { r.ask("GET", "/safe/x", nil) }, []quota.Spent{{Tenant: "alice", Amount: 200}}},
-		"turned away everywhere": {func(r *rig) { r.add("app", "a", turnAway) }, func(r *rig) { r.ask("GET", "/safe/x", nil) },
+		"plain back end": {func(r *rig) { r.add("app", "a", good) }, func(r *rig) { r.ask("GET", "/safe/x", nil) }, []quota.Spent{{Tenant: "alice", Amount: 200}}},
+		"rejected by all": {func(r *rig) { r.add("app", "a", reject) }, func(r *rig) { r.ask("GET", "/safe/x", nil) },
 			[]quota.Spent{{Tenant: "alice", Amount: 0}}},
-		"tried twice": {func(r *rig) {
-			r.add("app", "a", turnAway)
+		"second attempt": {func(r *rig) {
+			r.add("app", "a", reject)
 			r.add("app", "b", good)
 		}, func(r *rig) { r.ask("GET", "/safe/x", nil) }, []quota.Spent{{Tenant: "alice", Amount: 200}}},
-		"tokens, chosen here": {func(r *rig) { r.add("llm", "e", stream) }, chat, []quota.Spent{{Tenant: "alice", Amount: 100}}},
+		"tokens, chosen locally": {func(r *rig) { r.add("llm", "e", stream) }, chat, []quota.Spent{{Tenant: "alice", Amount: 100}}},
 		"counted by the leader": {func(r *rig) {
 			r.add("llm", "e", stream)
 			place(r, backends.Choice{})
 		}, chat, nil},
-		"placed by a leader that may not count": {func(r *rig) {
+		"placed but not counted by the leader": {func(r *rig) {
 			r.add("llm", "e", stream)
 			place(r, backends.Choice{Uncounted: true})
 		}, chat, []quota.Spent{{Tenant: "alice", Amount: 100}}},
-		"counted by the leader, turned away": {func(r *rig) {
-			r.add("llm", "e", turnAway)
+		"counted by the leader, rejected": {func(r *rig) {
+			r.add("llm", "e", reject)
 			place(r, backends.Choice{})
 		}, chat, []quota.Spent{{Tenant: "alice", Amount: -100}}},
-		"a tenant without a limit": {func(r *rig) {
+		"tenant without a limit": {func(r *rig) {
 			r.add("app", "a", good)
 			r.source.table.TenantOf("ka").Quota.Rate = 0
 		}, func(r *rig) { r.ask("GET", "/safe/x", nil) }, nil},
@@ -106,9 +106,8 @@
 	}
 }
 
-// What belongs to the router never reaches a back end from a caller, in whatever
-// spelling, doubled, or named by Connection.
-func TestHeadersOfTheRoutersOwnAreDroppedFromCallers(t *testing.T) {
+// Clients must not set the router's own headers by case, repetition or Connection.
+func TestOwnedHeadersOfClientsAreDropped(t *testing.T) {
 	r := newRig(t)
 	owned := r.handler.config.Headers.Owned()
 	r.add("app", "a", func(w http.ResponseWriter, q *http.Request) {
@@ -124,28 +123,27 @@
 		}
 		good(w, q)
 	})
-	answer := r.ask("GET", "/safe/x", func(q *http.Request) {
+	response := r.ask("GET", "/safe/x", func(q *http.Request) {
 		for _, name := range owned {
 			q.Header[strings.ToLower(name)] = []string{"forged", "forged"}
 		}
 		q.Header.Set("X-Named", "1")
 		q.Header.Set("Connection", "x-named")
 	})
-	assert.Equal(t, answer.status, http.StatusOK)
+	assert.Equal(t, response.status, http.StatusOK)
 }
 
-// A request without a tenant that every engine turned away ended its router's
-// connection instead of being answered.
-func TestARequestWithoutATenantHasNothingToGiveBack(t *testing.T) {
+// Guards against a panic on a rejected request without a tenant.
+func TestRejectedRequestWithoutTenantIsRefused(t *testing.T) {
 	r := newRig(t)
 	r.limited()
 	r.source.table.Routes[2].Public = true
-	r.add("llm", "e", turnAway)
+	r.add("llm", "e", reject)
 	held, found := r.pool.Choose(0, &backends.Query{Pool: "llm"})
 	assert.Assert(t, found)
 	held.Placement = 1
-	r.handler.config.Placer = &placerOf{choice: held, answered: true}
-	answer := r.ask("POST", "/chat/x", func(q *http.Request) { q.Header.Set(names.Model, "m") })
-	assert.NilError(t, answer.err)
-	assert.Equal(t, answer.status, http.StatusServiceUnavailable)
+	r.handler.config.Placer = &fixedPlacer{choice: held, answered: true}
+	response := r.ask("POST", "/chat/x", func(q *http.Request) { q.Header.Set(names.Model, "m") })
+	assert.NilError(t, response.err)
+	assert.Equal(t, response.status, http.StatusServiceUnavailable)
 }
--- a/internal/forward/prompts.go
+++ b/internal/forward/prompts.go
@@ -14,36 +14,35 @@
 )
 
 const (
-	// maxSaved bounds what a router remembers of saved parts.
+	// maxSaved bounds the saved parts that a router records.
 	maxSaved = 50000
 )
 
-// Saved is a router's knowledge of the prompt parts that the store holds. A
-// save carries the request's own part too, which nobody fetches, and the
-// store's link is narrow: parts that any router has saved lately are not saved
-// again. It is safe for concurrent use.
+// Saved records the prompt parts that the store holds. Parts that any router has saved recently
+// are not saved again: a save also carries the request's own part, which no other request
+// fetches, and the store's bandwidth is scarce. It is safe for concurrent use.
 type Saved struct {
-	started time.Duration
-	mu      sync.Mutex
-	at      map[uint64]time.Duration
-	fresh   []uint64
+	started    time.Duration
+	mu         sync.Mutex
+	savedAt    map[uint64]time.Duration
+	unreported []uint64
 }
 
-// NewSaved returns an empty knowledge.
+// NewSaved returns an empty Saved.
 func NewSaved() *Saved {
-	return &Saved{started: clock.Now(), at: map[uint64]time.Duration{}}
+	return &Saved{started: clock.Now(), savedAt: map[uint64]time.Duration{}}
 }
 
-// Add takes parts that routers have saved.
+// Add records parts that other routers have saved.
 func (s *Saved) Add(parts []uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Since(s.started)
 	for _, part := range parts {
-		s.at[part] = now
+		s.savedAt[part] = now
 	}
-	if len(s.at) > maxSaved {
-		clear(s.at)
+	if len(s.savedAt) > maxSaved {
+		clear(s.savedAt)
 	}
 }
 
@@ -51,54 +50,55 @@
 func (s *Saved) TakeNew() []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fresh := s.fresh
-	s.fresh = nil
-	return fresh
+	unreported := s.unreported
+	s.unreported = nil
+	return unreported
 }
 
-// ShouldSave tells whether a request is to save its parts: some were not saved
-// lately. They count as saved from then on.
+// ShouldSave reports whether some parts of a request were not saved recently, and records all
+// of them as saved.
 func (s *Saved) ShouldSave(salt string, parts []string) bool {
 	return s.MarkSaved(salt, parts) > 0
 }
 
-// MarkSaved notes that a request saves its parts, and returns how many of them were not
-// saved lately.
+// MarkSaved records the parts of a request as saved, and returns how many of them were not
+// saved recently.
 func (s *Saved) MarkSaved(salt string, parts []string) (missing int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Since(s.started)
 	for _, part := range parts {
 		name := xxhash.Sum64String(salt + "/" + part)
-		if at, known := s.at[name]; known && now-at < coordapi.SavedTime {
+		if savedAt, known := s.savedAt[name]; known && now-savedAt < coordapi.SavedTime {
 			continue
 		}
 		missing++
-		s.at[name] = now
-		s.fresh = append(s.fresh, name)
+		s.savedAt[name] = now
+		s.unreported = append(s.unreported, name)
 	}
 	return missing
 }
 
-// CountSaved returns how many of a prompt's leading parts some router has saved
-// lately. A part that is kept without those before it is of no use.
+// CountSaved returns the number of leading parts of a prompt that a router has saved recently.
+// Later parts are of no use without those before them.
 func (s *Saved) CountSaved(salt string, parts []string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Since(s.started)
 	for i, part := range parts {
-		at, known := s.at[xxhash.Sum64String(salt+"/"+part)]
-		if !known || now-at >= coordapi.SavedTime {
+		savedAt, known := s.savedAt[xxhash.Sum64String(salt+"/"+part)]
+		if !known || now-savedAt >= coordapi.SavedTime {
 			return i
 		}
 	}
 	return len(parts)
 }
 
-// addressPrompt fills where kept prompts are taken from and sent to. What was
-// saved lately comes from the store; a home may have dropped it. If not even
-// the first part was, the home may keep some.
-func (h *Handler) addressPrompt(j *job, choice backends.Choice) {
+// setPromptHeaders sets the addresses from which the engine fetches cached prompt parts and to
+// which it saves them. Recently saved parts are fetched from the store, since the home engine
+// may have evicted them. If not even the first part was saved, the home engine may still have
+// some.
+func (h *Handler) setPromptHeaders(j *job, choice backends.Choice) {
 	names, header := &h.config.Headers, j.request.Header
 	header.Del(names.FetchFrom)
 	header.Del(names.SaveTo)
@@ -109,10 +109,10 @@
 	}
 	store := j.store()
 	if choice.Placement > 0 {
-		h.addressPlaced(j, choice, store)
+		h.setPlacedPromptHeaders(j, choice, store)
 		return
 	}
-	if store != nil && !h.store.pays(h.now(), h.config.Pool.MoveWorth(&j.query)) {
+	if store != nil && !h.store.worthwhile(h.now(), h.config.Pool.MoveWorth(&j.query)) {
 		store = nil
 	}
 	switch {
@@ -126,8 +126,8 @@
 	}
 }
 
-// addressPlaced fills the same as who placed the request knows it.
-func (h *Handler) addressPlaced(j *job, choice backends.Choice, store *traffic.Store) {
+// setPlacedPromptHeaders sets the same headers as the leader chose them.
+func (h *Handler) setPlacedPromptHeaders(j *job, choice backends.Choice, store *traffic.Store) {
 	names, header := &h.config.Headers, j.request.Header
 	if choice.Source != "" {
 		header.Set(names.FetchFrom, choice.Source)
@@ -138,17 +138,17 @@
 	}
 }
 
-// store is the store that keeps the request's shared parts, nil for none.
+// store returns the store of the request's shared parts, nil for none.
 func (j *job) store() *traffic.Store { return j.table.Store(xxhash.Sum64String(j.query.Key)) }
 
-// salt separates kept prompts by model, version and isolated tenant.
+// salt separates cached prompts by model, version and isolated tenant.
 func salt(j *job, version int) string {
-	return j.query.Model + "/" + strconv.Itoa(version) + j.owner()
+	return j.query.Model + "/" + strconv.Itoa(version) + j.tenantSuffix()
 }
 
-// owner is what keeps the prompts of an isolated tenant apart in a name; empty for
-// all others.
-func (j *job) owner() string {
+// tenantSuffix returns the suffix that separates the cached prompts of an isolated tenant;
+// empty for all other tenants.
+func (j *job) tenantSuffix() string {
 	if j.tenant == nil || !j.tenant.Isolated {
 		return ""
 	}
--- a/internal/forward/pushback_test.go
+++ b/internal/forward/pushback_test.go
@@ -16,18 +16,17 @@
 	"quinceridge.example/quinceridge/internal/upstream"
 )
 
-// pushBack turns a request away and asks for a time without any.
+// pushBack rejects a request with a Retry-After.
 func pushBack(wait string) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
 		w.Header().Set("Retry-After", wait)
-		turnAway(w, q)
+		reject(w, q)
 	}
 }
 
-// A back end that turned a request away and wants no other for half a minute gets none,
-// whether the router chooses or the leader does: that one places at the engine with the
-// least work, which is the one that takes nothing.
-func TestABackEndThatPushedBackGetsNothing(t *testing.T) {
+// Guards against sending to a back end during its pushback, also on a placement: a back end
+// that rejects everything has the least work, so the leader would choose it.
+func TestNothingIsSentDuringPushback(t *testing.T) {
 	r := newRig(t)
 	r.add("app", "open", good)
 	r.add("app", "full", pushBack("30"))
@@ -35,7 +34,7 @@
 		assert.Equal(t, r.ask("POST", "/unsafe/x", nil).status, http.StatusOK)
 		time.Sleep(20 * time.Millisecond)
 	}
-	assert.Assert(t, r.ran("full") <= 1, "it got %d", r.ran("full"))
+	assert.Assert(t, r.ran("full") <= 1, "requests received: %d", r.ran("full"))
 
 	stream := func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 2) }
 	r.add("llm", "reads", stream)
@@ -43,7 +42,7 @@
 	rests, found := r.pool.Choose(0, &backends.Query{Pool: "llm", Tried: []string{"reads"}})
 	assert.Assert(t, found)
 	rests.Placement = 1
-	r.handler.config.Placer = &placerOf{choice: rests, answered: true}
+	r.handler.config.Placer = &fixedPlacer{choice: rests, answered: true}
 	asModel := func(q *http.Request) { q.Header.Set(names.Model, "m") }
 	r.ask("POST", "/chat/x", asModel)
 	for range 10 {
@@ -52,29 +51,29 @@
 	assert.Equal(t, r.ran("rests"), 1)
 }
 
-// openRow applies a back end's row anew, as ready as it was.
+// openRow applies a back end's row as ready.
 func (r *rig) openRow(id, pool, address string) {
 	r.pool.Apply([]state.Backend{{ID: id, Pool: pool, Address: address, Zone: "a"}}, nil, false)
 }
 
-// address is where a back end of the rig listens.
+// address returns the address of a back end in a pool.
 func (r *rig) address(pool string, others ...string) string {
 	choice, found := r.pool.Choose(0, &backends.Query{Pool: pool, Tried: others})
 	assert.Assert(r.t, found)
 	return choice.Address
 }
 
-// With all of a pool asking for a wait nobody is sent there all the same: callers are told
-// at once when the first is back.
-func TestWhenAllOfAPoolPushBackCallersAreToldWhenTheFirstIsBack(t *testing.T) {
+// No request is sent even if all back ends of a pool pushed back; Retry-After is the shortest
+// wait.
+func TestRetryAfterIsShortestPushbackOfPool(t *testing.T) {
 	r := newRig(t)
 	r.add("app", "long", pushBack("40"))
 	r.add("app", "short", pushBack("8"))
 	r.ask("POST", "/unsafe/x", nil)
 	for range 5 {
-		answer := r.ask("POST", "/unsafe/x", nil)
-		assert.Equal(t, answer.status, http.StatusServiceUnavailable)
-		after, err := strconv.ParseFloat(answer.header.Get("Retry-After"), 64)
+		response := r.ask("POST", "/unsafe/x", nil)
+		assert.Equal(t, response.status, http.StatusServiceUnavailable)
+		after, err := strconv.ParseFloat(response.header.Get("Retry-After"), 64)
 		assert.NilError(t, err)
 		assert.Assert(t, after > 7 && after <= 12, "%v", after)
 	}
@@ -82,8 +81,8 @@
 	assert.Equal(t, r.ran("short"), 1)
 }
 
-// One that is back before a request would be given up is waited for.
-func TestAPushbackThatIsSoonOverIsWaitedFor(t *testing.T) {
+// A request waits for a pushback that ends before the request would be refused.
+func TestRequestWaitsForShortPushback(t *testing.T) {
 	r := newRig(t)
 	r.source.table.Route("h", "/unsafe/x").Target = 2 * time.Second
 	var once sync.Once
@@ -101,9 +100,9 @@
 	assert.Equal(t, r.ran("x"), 2)
 }
 
-// What a back end asked outlives its row, which a router is told again, drops with its shard
-// and hears of anew from another leader; another start at the address has asked nothing.
-func TestAPushbackIsOfOneStartAndOutlivesItsRow(t *testing.T) {
+// A pushback holds while rows are dropped and received anew, and only for the instance that
+// sent it.
+func TestPushbackHoldsPerInstanceWithoutRow(t *testing.T) {
 	r := newRig(t)
 	r.add("app", "x", pushBack("30"))
 	address := r.address("app")
@@ -118,9 +117,9 @@
 	assert.Equal(t, r.ran("x"), 2)
 }
 
-// A 503 that may have run is passed on where it may not be repeated, and what it asks for
-// holds; the back end has not failed.
-func TestAPushbackOfARequestThatRanIsNoLicenceToRepeatIt(t *testing.T) {
+// A 503 of a request that may have run is forwarded without a retry. Its pushback holds, and it
+// is not counted as a failure.
+func TestPushbackOfUnsafeRequestIsNotRetried(t *testing.T) {
 	r := newRig(t)
 	r.add("app", "x", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "30")
@@ -139,9 +138,8 @@
 	assert.Equal(t, r.ran("y"), before+5)
 }
 
-// An attempt that the last look keeps from a back end takes nothing of the budget for
-// repeats and is no failure: with a budget of nothing the request is served elsewhere.
-func TestWhatIsNotSentTakesNothingOfTheBudget(t *testing.T) {
+// An attempt that is withheld by the last check spends no retry and counts as no failure.
+func TestWithheldAttemptSpendsNoRetry(t *testing.T) {
 	r := newRig(t)
 	r.handler.budget = newBudget(BudgetConfig{Window: time.Second}, nil)
 	r.add("llm", "rests", pushBack("30"))
@@ -156,48 +154,47 @@
 	j.request.Header = http.Header{}
 	result := r.handler.attempt(t.Context(), s, rests)
 	assert.Equal(t, result.verdict, notRun)
-	assert.Assert(t, !result.arrived)
-	assert.Assert(t, r.handler.again(t.Context(), j, s, result))
+	assert.Assert(t, !result.delivered)
+	assert.Assert(t, r.handler.shouldRetry(t.Context(), j, s, result))
 	assert.Equal(t, r.ran("rests"), 0)
-	j.sent = 1
-	assert.Assert(t, r.handler.again(t.Context(), j, s, result), "the repeat that was granted is still there")
+	j.deliveries = 1
+	assert.Assert(t, r.handler.shouldRetry(t.Context(), j, s, result), "the granted retry is still available")
 }
 
-// leaving answers as another handler does and says that the back end drains.
-func leaving(serve http.HandlerFunc) http.HandlerFunc {
+// announceDraining adds the draining header to responses.
+func announceDraining(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
 		w.Header().Set(names.Draining, "1")
 		serve(w, q)
 	}
 }
 
-// A back end says in any answer that it drains, with its row still ready, and gets nothing
-// new from then on.
-func TestABackEndThatSaysThatItDrainsGetsNothingNew(t *testing.T) {
+// Any response may announce draining, before the row does. Nothing new is sent from then on.
+func TestNothingNewIsSentAfterDrainingHeader(t *testing.T) {
 	stream := func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 2) }
 	for name, c := range map[string]struct {
 		pool, path string
 		serve      http.HandlerFunc
 	}{
-		"a whole answer":       {"app", "/unsafe/x", good},
-		"a failure":            {"app", "/unsafe/x", failing},
-		"turned away":          {"app", "/unsafe/x", turnAway},
-		"pushed back":          {"app", "/unsafe/x", pushBack("0")},
-		"another weights":      {"llm", "/chat/x", otherWeights},
-		"a stream":             {"llm", "/chat/x", stream},
-		"broken off":           {"llm", "/chat/x", func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 1); breakOff(w, 2) }},
-		"broken off, at once":  {"llm", "/chat/x", func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 0); breakOff(w, 1) }},
-		"a success unsigned":   {"app", "/unsafe/x", func(http.ResponseWriter, *http.Request) {}},
-		"an answer of its own": {"app", "/unsafe/x", http.NotFound},
+		"complete response":                {"app", "/unsafe/x", good},
+		"failure":                          {"app", "/unsafe/x", failing},
+		"rejected":                         {"app", "/unsafe/x", reject},
+		"pushback":                         {"app", "/unsafe/x", pushBack("0")},
+		"other weights":                    {"llm", "/chat/x", otherWeights},
+		"stream":                           {"llm", "/chat/x", stream},
+		"broken stream":                    {"llm", "/chat/x", func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 1); breakOff(w, 2) }},
+		"stream broken in the first event": {"llm", "/chat/x", func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 0); breakOff(w, 1) }},
+		"unsigned success":                 {"app", "/unsafe/x", func(http.ResponseWriter, *http.Request) {}},
+		"not found":                        {"app", "/unsafe/x", http.NotFound},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			r.add(c.pool, "leaves", leaving(c.serve))
+			r.add(c.pool, "leaves", announceDraining(c.serve))
 			address := r.address(c.pool)
 			asModel := func(q *http.Request) { q.Header.Set(names.Model, "m") }
 			r.ask("POST", c.path, asModel)
 			assert.Equal(t, r.ran("leaves"), 1)
-			// It is told of as ready again.
+			// The row is received as ready once more.
 			r.openRow("leaves", c.pool, address)
 			for range 3 {
 				assert.Equal(t, r.ask("POST", c.path, asModel).status, http.StatusServiceUnavailable)
@@ -214,12 +211,11 @@
 	w.WriteHeader(http.StatusMisdirectedRequest)
 }
 
-// A stream that runs at a back end which says that it drains goes on there, and a
-// placement there that was on its way is not taken.
-func TestAStreamAtABackEndThatDrainsGoesOn(t *testing.T) {
+// A running stream goes on at a draining back end, and a late placement there is rejected.
+func TestStreamContinuesAtDrainingBackend(t *testing.T) {
 	r := newRig(t)
 	release := make(chan struct{})
-	r.add("llm", "leaves", leaving(func(w http.ResponseWriter, _ *http.Request) {
+	r.add("llm", "leaves", announceDraining(func(w http.ResponseWriter, _ *http.Request) {
 		events(w, 1, 1)
 		<-release
 		events(w, 2, 3)
@@ -228,7 +224,7 @@
 	assert.Assert(t, found)
 	onItsWay.Placement = 1
 	r.add("llm", "stays", func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 2) })
-	placer := &placerOf{choice: onItsWay, answered: true}
+	placer := &fixedPlacer{choice: onItsWay, answered: true}
 	r.handler.config.Placer = placer
 	asModel := func(q *http.Request) { q.Header.Set(names.Model, "m") }
 	running := make(chan result)
@@ -239,9 +235,9 @@
 		}
 		return poll.Success()
 	}, poll.WithDelay(5*time.Millisecond))
-	assert.Equal(t, r.ask("POST", "/chat/x", asModel).body, wanted(2))
+	assert.Equal(t, r.ask("POST", "/chat/x", asModel).body, eventText(2))
 	assert.Equal(t, r.ran("stays"), 1)
 	close(release)
-	assert.Equal(t, (<-running).body, wanted(3))
+	assert.Equal(t, (<-running).body, eventText(3))
 	assert.Equal(t, r.ran("leaves"), 1)
 }
--- a/internal/forward/ratelimit_test.go
+++ b/internal/forward/ratelimit_test.go
@@ -18,27 +18,27 @@
 	"quinceridge.example/quinceridge/internal/ratelimit"
 )
 
-// bankClaimer grants rights of a bank as the leader does.
-type bankClaimer struct {
+// limiterClaimer grants permits as the leader does.
+type limiterClaimer struct {
 	bank   *ratelimit.Bank
 	limits *ratelimit.Register
 	number atomic.Uint64
 	asked  atomic.Int64
-	// term is for how long a right lasts.
+	// term is the lifetime of a permit.
 	term time.Duration
 }
 
-// limitedRig is a rig whose rights come from a bank.
-func limitedRig(t *testing.T) (*rig, *bankClaimer) {
+// limitedRig returns a rig with a limiterClaimer.
+func limitedRig(t *testing.T) (*rig, *limiterClaimer) {
 	r := newRig(t)
-	c := &bankClaimer{bank: ratelimit.NewBank(slog.New(slog.DiscardHandler)), limits: r.handler.config.Limits, term: ratelimit.Term}
+	c := &limiterClaimer{bank: ratelimit.NewBank(slog.New(slog.DiscardHandler)), limits: r.handler.config.Limits, term: ratelimit.Term}
 	c.bank.Lead(true)
 	c.bank.Lease(1 << 62)
 	r.handler.config.Claimer = c
 	return r, c
 }
 
-func (c *bankClaimer) Claim(_ context.Context, q *backends.Query, id coordapi.BackendID) (*ratelimit.Right, time.Duration, time.Duration) {
+func (c *limiterClaimer) Claim(_ context.Context, q *backends.Query, id coordapi.BackendID) (*ratelimit.Right, time.Duration, time.Duration) {
 	c.asked.Add(1)
 	now := clock.Now()
 	c.bank.Hear(now, c.limits.News())
@@ -54,7 +54,7 @@
 	return nil, verdict.Wait, c.bank.Room(now, q.Pool)
 }
 
-// limit names a rate in each answer, while there is one.
+// limit announces a rate in each response while one is set.
 func limit(rate *atomic.Pointer[string], serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
 		if text := rate.Load(); text != nil {
@@ -70,16 +70,16 @@
 	return p
 }
 
-func retryAfter(t *testing.T, answer result) time.Duration {
+func retryAfter(t *testing.T, response result) time.Duration {
 	t.Helper()
-	after, err := strconv.ParseFloat(answer.header.Get("Retry-After"), 64)
+	after, err := strconv.ParseFloat(response.header.Get("Retry-After"), 64)
 	assert.NilError(t, err)
 	return time.Duration(after * float64(time.Second))
 }
 
-// A plain back end that takes two a second gets those, the others what it leaves, and no
-// caller waits or is refused for it.
-func TestABackEndThatTakesOnlySoManyGetsThose(t *testing.T) {
+// A back end with a limit of two requests a second gets those, and the other one serves the
+// rest.
+func TestLimitedBackendGetsItsRate(t *testing.T) {
 	r, _ := limitedRig(t)
 	r.add("app", "some", limit(named("2"), good))
 	r.add("app", "all", good)
@@ -90,9 +90,9 @@
 	assert.Assert(t, r.ran("some") >= 4 && r.ran("some") <= 7, "%d in %v", r.ran("some"), length)
 }
 
-// All of a pool take one a second. Who can't be served is told at once, and each another
-// moment.
-func TestWhenAllTakeOnlySoManyCallersAreToldAtOnceEachAnotherMoment(t *testing.T) {
+// If all back ends of a pool are at their limits, requests are refused at once, each with
+// another Retry-After.
+func TestRequestsOverAllLimitsGetDistinctRetryAfter(t *testing.T) {
 	r, _ := limitedRig(t)
 	for _, id := range []string{"x", "y"} {
 		r.add("app", id, limit(named("1"), good))
@@ -105,15 +105,15 @@
 	refused := 0
 	for range 8 {
 		begun := time.Now()
-		answer := r.ask("POST", "/unsafe/x", nil)
-		if answer.status == http.StatusOK {
+		response := r.ask("POST", "/unsafe/x", nil)
+		if response.status == http.StatusOK {
 			continue
 		}
-		assert.Equal(t, answer.status, http.StatusServiceUnavailable)
-		assert.Equal(t, answer.header.Get(names.Seal), "")
-		assert.Assert(t, time.Since(begun) < 200*time.Millisecond, "it was held for %v", time.Since(begun))
+		assert.Equal(t, response.status, http.StatusServiceUnavailable)
+		assert.Equal(t, response.header.Get(names.Seal), "")
+		assert.Assert(t, time.Since(begun) < 200*time.Millisecond, "refused after %v", time.Since(begun))
 		refused++
-		after := retryAfter(t, answer)
+		after := retryAfter(t, response)
 		assert.Assert(t, after > 0 && after <= 6*time.Second, "%v", after)
 		moments[after.Round(250*time.Millisecond)]++
 	}
@@ -121,8 +121,8 @@
 	assert.Assert(t, len(moments) >= refused-1, "%v", moments)
 }
 
-// One that has room before a request would be given up is waited for.
-func TestARequestWaitsForRoomThatComesInTime(t *testing.T) {
+// A request waits for a permit that is available before the request would be refused.
+func TestRequestWaitsForPermit(t *testing.T) {
 	r, _ := limitedRig(t)
 	r.source.table.Route("h", "/unsafe/x").Target = 2 * time.Second
 	r.add("app", "x", limit(named("5"), good))
@@ -132,8 +132,8 @@
 	}
 }
 
-// When a limit ends, all that is sent knows it from the first answer on.
-func TestWhenALimitEndsNoRightIsNeeded(t *testing.T) {
+// The first response without a limit ends the limit.
+func TestNoPermitIsNeededAfterLimitEnds(t *testing.T) {
 	r, claimer := limitedRig(t)
 	rate := named("1")
 	r.add("app", "x", limit(rate, good))
@@ -150,9 +150,9 @@
 	assert.Equal(t, claimer.asked.Load(), before)
 }
 
-// A right that ends before the send keeps the request back. That costs neither one of its
-// attempts nor the budget for repeats, and the back end's next place is there for another.
-func TestARightThatEndsTooEarlyCostsNothing(t *testing.T) {
+// An expired permit withholds the request. That costs no attempt and no retry, and the permit
+// goes back to the back end.
+func TestExpiredPermitCostsNoAttempt(t *testing.T) {
 	r, claimer := limitedRig(t)
 	claimer.term = 0
 	r.add("app", "z", good)
@@ -169,12 +169,12 @@
 	}
 	group.Wait()
 	granted, _, back := claimer.bank.Counts()
-	assert.Assert(t, granted > 0 && back > 0, "%d rights, %d back", granted, back)
+	assert.Assert(t, granted > 0 && back > 0, "%d permits granted, %d released", granted, back)
 }
 
-// While no leader grants anything, others are sent to; where there are none, callers are
-// told at once.
-func TestWithoutALeaderNothingIsSentToOneThatTakesOnlySoMany(t *testing.T) {
+// Without a leader, nothing is sent to limited back ends: others serve, or the request is
+// refused.
+func TestLimitedBackendGetsNothingWithoutLeader(t *testing.T) {
 	r := newRig(t)
 	r.add("app", "x", limit(named("100"), good))
 	r.ask("POST", "/unsafe/x", nil)
@@ -186,9 +186,8 @@
 	assert.Equal(t, r.ran("x"), 1)
 }
 
-// The leader places at an engine of which it does not know that it takes only so many: the
-// router asks for the right before it sends.
-func TestAPlacementWithoutARightIsAskedFor(t *testing.T) {
+// The router asks for a permit if the leader placed the request without one.
+func TestPlacementWithoutPermitIsClaimed(t *testing.T) {
 	r, claimer := limitedRig(t)
 	stream := func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 2) }
 	r.add("llm", "open", stream)
@@ -196,13 +195,13 @@
 	some, found := r.pool.Choose(0, &backends.Query{Pool: "llm", Tried: []string{"open"}})
 	assert.Assert(t, found)
 	some.Placement = 1
-	placer := &placerOf{choice: some, answered: true}
+	placer := &fixedPlacer{choice: some, answered: true}
 	r.handler.config.Placer = placer
 	asModel := func(q *http.Request) { q.Header.Set(names.Model, "m") }
 	for range 10 {
 		assert.Equal(t, r.ask("POST", "/chat/x", asModel).status, http.StatusOK)
 	}
-	assert.Equal(t, r.ran("some"), 2, "the first, which found out, and one by right")
+	assert.Equal(t, r.ran("some"), 2, "the first, which announced the limit, and one with a permit")
 	assert.Assert(t, claimer.asked.Load() >= 1)
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
--- a/internal/forward/restart_test.go
+++ b/internal/forward/restart_test.go
@@ -10,8 +10,7 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// hanging is a back end that has gone silent with its connections open, as one whose
-// machine lost power does.
+// hanging is a back end that stops responding with its connections open, as after a power loss.
 func hanging(begun chan<- struct{}) http.HandlerFunc {
 	return func(_ http.ResponseWriter, q *http.Request) {
 		begun <- struct{}{}
@@ -19,14 +18,13 @@
 	}
 }
 
-// restart tells the router that a back end has started again under its name, elsewhere.
+// restart applies the row of a new instance of a back end at another address.
 func (r *rig) restart(pool, name, address string) {
 	r.pool.Apply([]state.Backend{{ID: name + "~2", Instance: name, Born: 2, Enrolled: 2, Pool: pool, Address: address, Zone: "a"}}, []string{name}, false)
 }
 
-// Requests at a start that is over are known to be over when its successor is heard of,
-// and not at their deadline: what may be repeated goes on, what may not is told at once.
-func TestRequestsAtAStartThatIsOverEndWhenItsSuccessorIsKnown(t *testing.T) {
+// Attempts at a lost instance must end when its successor is registered, not at their deadline.
+func TestRestartEndsAttemptsAtLostInstance(t *testing.T) {
 	r := newRig(t)
 	r.source.table.Route("h", "/safe/x").Timeout = 20 * time.Second
 	r.source.table.Route("h", "/unsafe/x").Timeout = 20 * time.Second
@@ -38,7 +36,7 @@
 			name := "worker" + path
 			r.add(pool, name, hanging(begun))
 			got := make(chan result)
-			// Alarms for silence would end it too.
+			// The watchdogs would end the attempt too.
 			r.source.table.Route("h", path).Target = 20 * time.Second
 			go func() {
 				got <- r.ask("POST", path, func(q *http.Request) { q.Header.Set(names.Model, "m") })
@@ -52,13 +50,13 @@
 			address := r.address(pool, name)
 			r.pool.Apply(nil, []string{"elsewhere" + path}, false)
 			r.restart(pool, name, address)
-			answer := <-got
+			response := <-got
 			if path == "/unsafe/x" {
-				assert.Equal(t, answer.status, http.StatusBadGateway)
-				assert.Equal(t, answer.header.Get("Retry-After"), "", "it may have run")
+				assert.Equal(t, response.status, http.StatusBadGateway)
+				assert.Equal(t, response.header.Get("Retry-After"), "", "it may have run")
 			} else {
-				assert.Equal(t, answer.status, http.StatusOK)
-				assert.Equal(t, <-expected, name, "the back end is named as it names itself")
+				assert.Equal(t, response.status, http.StatusOK)
+				assert.Equal(t, <-expected, name, "the header holds the instance's own name")
 			}
 			r.pool.Apply(nil, []string{name + "~2"}, false)
 		})
--- a/internal/forward/store.go
+++ b/internal/forward/store.go
@@ -7,37 +7,36 @@
 	"quinceridge.example/quinceridge/internal/speed"
 )
 
-// storeWatch follows how much longer requests take that name a store. A store
-// with a long queue gets no more work until it has caught up: requests that wait
-// for it hold memory at their engines, which then keep less, so that more is
-// taken from the store. It is safe for concurrent use.
-type storeWatch struct {
+// storeMonitor measures the delay of requests that fetch from a store. A store with a long
+// queue is not used until the delay has fallen: requests that wait for it hold memory at their
+// engines, which then evict more and fetch more. It is safe for concurrent use.
+type storeMonitor struct {
 	mu    sync.Mutex
 	delay speed.Delay
 }
 
-// pays tells whether a move that is worth a delay pays now.
-func (w *storeWatch) pays(now, worth time.Duration) bool { return w.current(now) <= worth }
+// worthwhile reports whether a fetch that saves worth is faster than the delay.
+func (m *storeMonitor) worthwhile(now, worth time.Duration) bool { return m.delayAt(now) <= worth }
 
-// current is the delay as of now.
-func (w *storeWatch) current(now time.Duration) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.delay.At(now)
+// delayAt returns the delay as of now.
+func (m *storeMonitor) delayAt(now time.Duration) time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.delay.At(now)
 }
 
-// note takes how much longer than expected a request took.
-func (w *storeWatch) note(now, excess time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.delay.Observe(now, excess)
+// observe records the excess of a request's duration over the expected one.
+func (m *storeMonitor) observe(now, excess time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.delay.Observe(now, excess)
 }
 
-// noteStore learns from a request that named a store how much longer than
-// expected it took to begin.
-func (h *Handler) noteStore(j *job, excess time.Duration) {
+// observeStoreDelay records by how much the start of a request that fetches from a store
+// exceeded its estimate.
+func (h *Handler) observeStoreDelay(j *job, excess time.Duration) {
 	store := j.store()
 	if store != nil && j.request.Header.Get(h.config.Headers.FetchFrom) == store.Address {
-		h.store.note(h.now(), excess)
+		h.store.observe(h.now(), excess)
 	}
 }
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -16,9 +16,8 @@
 	"gotest.tools/v3/poll"
 )
 
-// While engines crashed, the budget of a router was soon spent: 713 requests of a
-// day were given up for the silence of their engines and had no other attempt.
-func TestASilentAttemptGoesOnWithoutABudgetForAnother(t *testing.T) {
+// Guards against cancelling a silent attempt that has no retry.
+func TestSilentAttemptContinuesWithoutRetry(t *testing.T) {
 	r := newRig(t)
 	r.handler.budget = newBudget(BudgetConfig{Window: time.Second}, nil)
 	slow := func(w http.ResponseWriter, q *http.Request) {
@@ -27,12 +26,12 @@
 	}
 	r.add("app", "a", slow)
 	r.add("app", "b", slow)
-	answer := r.ask("GET", "/safe/x", nil)
-	assert.Equal(t, answer.status, http.StatusOK)
+	response := r.ask("GET", "/safe/x", nil)
+	assert.Equal(t, response.status, http.StatusOK)
 	assert.Equal(t, r.ran("a", "b"), 1)
 }
 
-func TestASilentAttemptIsGivenUpForAnother(t *testing.T) {
+func TestSilentAttemptIsRetried(t *testing.T) {
 	r := newRig(t)
 	hanging := make(chan struct{})
 	t.Cleanup(func() { close(hanging) })
@@ -59,7 +58,7 @@
 	}
 }
 
-func wanted(last int) string {
+func eventText(last int) string {
 	var text strings.Builder
 	for i := 1; i <= last; i++ {
 		fmt.Fprintf(&text, "id: %d\ndata: piece %d\n\n", i, i)
@@ -71,10 +70,10 @@
 func breakOff(w http.ResponseWriter, number int) {
 	_, _ = fmt.Fprintf(w, "id: %d\ndata: pie", number)
 	_ = http.NewResponseController(w).Flush()
-	dropping(w, nil)
+	dropConnection(w, nil)
 }
 
-func TestAStreamGoesOnElsewhereWithoutLossOrRepeat(t *testing.T) {
+func TestResumedStreamHasEachEventOnce(t *testing.T) {
 	r := newRig(t)
 	var first sync.Once
 	serve := func(w http.ResponseWriter, q *http.Request) {
@@ -93,11 +92,11 @@
 	r.add("llm", "y", serve)
 	got := r.ask("POST", "/resumable/1", nil)
 	assert.NilError(t, got.err)
-	assert.Equal(t, got.body, wanted(6))
+	assert.Equal(t, got.body, eventText(6))
 	assert.Equal(t, r.ran("x", "y"), 2)
 }
 
-func TestABrokenStreamThatMayNotGoOnNeverLooksComplete(t *testing.T) {
+func TestBrokenStreamIsNotEndedCleanly(t *testing.T) {
 	r := newRig(t)
 	serve := func(w http.ResponseWriter, _ *http.Request) {
 		events(w, 1, 2)
@@ -107,11 +106,11 @@
 	r.add("llm", "y", serve)
 	got := r.ask("POST", "/chat/1", nil)
 	assert.Assert(t, got.err != nil)
-	assert.Equal(t, got.body, wanted(2))
+	assert.Equal(t, got.body, eventText(2))
 	assert.Equal(t, r.ran("x", "y"), 1)
 }
 
-// record keeps the messages of a log. It is safe for concurrent use.
+// record collects the messages of a log. It is safe for concurrent use.
 type record struct {
 	slog.Handler
 	mu       sync.Mutex
@@ -139,15 +138,15 @@
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-// A stream whose caller had left, or whose deadline had passed, was logged as
-// broken by its back end.
-func TestTheLogSaysWhoEndedAStream(t *testing.T) {
+// An aborted stream must not be logged as the back end's failure if the client or the deadline
+// ended it.
+func TestAbortedStreamIsLoggedWithCause(t *testing.T) {
 	cases := map[string]struct {
 		patient time.Duration
 		message string
 	}{
-		"the caller":   {50 * time.Millisecond, "caller gone"},
-		"the deadline": {10 * time.Second, "broken off at its deadline"},
+		"client":   {50 * time.Millisecond, "client disconnected"},
+		"deadline": {10 * time.Second, "aborted at the deadline"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/forward/suspend_test.go
+++ b/internal/forward/suspend_test.go
@@ -14,18 +14,17 @@
 	"quinceridge.example/quinceridge/internal/clock"
 )
 
-// sleepy makes the rig's machine one that can be suspended.
-func (r *rig) sleepy() *atomic.Int64 {
+// suspendable adds the returned time to the rig's clock, as a suspension of the machine does.
+func (r *rig) suspendable() *atomic.Int64 {
 	slept := &atomic.Int64{}
 	r.handler.clock = func() time.Duration { return clock.Now() + time.Duration(slept.Load()) }
 	return slept
 }
 
-// The time of a request goes on while its router is suspended: a further attempt is
-// given what is left then, and none begins after the deadline.
-func TestASuspensionTakesFromARequestsTime(t *testing.T) {
+// Deadlines include the time of a suspension, for retries and for the deadline header.
+func TestSuspensionCountsAgainstDeadline(t *testing.T) {
 	r := newRig(t)
-	slept := r.sleepy()
+	slept := r.suspendable()
 	var mu sync.Mutex
 	var left []int
 	serve := func(w http.ResponseWriter, q *http.Request) {
@@ -34,7 +33,7 @@
 		left = append(left, ms)
 		mu.Unlock()
 		slept.Add(int64(600 * time.Millisecond))
-		dropping(w, q)
+		dropConnection(w, q)
 	}
 	r.add("app", "x", serve)
 	r.add("app", "y", serve)
@@ -47,11 +46,10 @@
 	assert.Assert(t, left[0] > 900 && left[1] < 400, "%v", left)
 }
 
-// Timers stand still during a suspension. A request whose deadline passed meanwhile ends
-// when the machine is back, as one that ran out of time.
-func TestWhatRanOutOfTimeDuringASuspensionEnds(t *testing.T) {
+// Timers do not advance during a suspension. An overdue request ends when the machine resumes.
+func TestOverdueRequestEndsAfterSuspension(t *testing.T) {
 	r := newRig(t)
-	slept := r.sleepy()
+	slept := r.suspendable()
 	gone := make(chan struct{})
 	r.add("app", "slow", func(_ http.ResponseWriter, q *http.Request) {
 		slept.Add(int64(time.Minute))
@@ -68,7 +66,7 @@
 			assert.Equal(t, status, http.StatusGatewayTimeout)
 			return poll.Success()
 		default:
-			return poll.Continue("no answer yet")
+			return poll.Continue("no response yet")
 		}
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(10*time.Millisecond))
 	<-gone
