--- a/internal/pushback/parse.go
+++ b/internal/pushback/parse.go
@@ -10,18 +10,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// headerRetryAfter is how long a caller is asked to stay away, in seconds (fractions too)
-// or as a date; RFC 9110, section 10.2.3.
+// headerRetryAfter holds a wait in seconds, which may have a fraction, or a date; RFC 9110,
+// section 10.2.3.
 const headerRetryAfter = "Retry-After"
 
-// longestWait bounds what one answer may ask for. A back end that wants nothing for longer
-// than it would take to replace it drains; a slip of units must not take it out for days.
-const longestWait = 10 * time.Minute
+// maxWait bounds the wait of one response, so that a mistaken unit does not exclude a back end
+// for days.
+const maxWait = 10 * time.Minute
 
-// retryAfter reads how long an answer asks to be left alone; 0 when it doesn't. Of
-// several values the longest holds. The error names the first that can't be read, and
-// the wait is that of the others.
-func retryAfter(header http.Header) (wait time.Duration, err error) {
+// parseRetryAfter returns the longest wait of a response's Retry-After values, 0 for none. The
+// error is that of the first invalid value; the others still count.
+func parseRetryAfter(header http.Header) (wait time.Duration, err error) {
 	for _, value := range header[headerRetryAfter] {
 		one, failure := parseWait(strings.TrimSpace(value), header.Get("Date"))
 		if failure != nil && err == nil {
@@ -37,28 +36,28 @@
 		return 0, errors.New("Retry-After is empty")
 	}
 	if strings.Trim(text, "0123456789.") != "" {
-		return waitUntil(text, sent)
+		return parseDate(text, sent)
 	}
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		return 0, fmt.Errorf("Retry-After %.32q is no number of seconds", text)
+		return 0, fmt.Errorf("Retry-After %.32q is not a number of seconds", text)
 	}
-	if seconds >= longestWait.Seconds() {
-		return longestWait, nil
+	if seconds >= maxWait.Seconds() {
+		return maxWait, nil
 	}
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// waitUntil reads a date. It counts from the answer's own date: the back end's time of
-// day may be another than this machine's.
-func waitUntil(text, sent string) (time.Duration, error) {
+// parseDate returns the wait until a date, from the response's own date: the back end's clock
+// may differ from this machine's.
+func parseDate(text, sent string) (time.Duration, error) {
 	until, err := http.ParseTime(text)
 	if err != nil {
 		return 0, fmt.Errorf("Retry-After %.32q is neither seconds nor a date", text)
 	}
 	from, err := http.ParseTime(sent)
 	if err != nil {
-		return 0, fmt.Errorf("Retry-After is a date in an answer without one of its own")
+		return 0, fmt.Errorf("Retry-After is a date, but the response has no Date header")
 	}
-	return min(max(until.Sub(from), 0), longestWait), nil
+	return min(max(until.Sub(from), 0), maxWait), nil
 }
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -16,15 +16,15 @@
 
 var names = vocabulary.Default()
 
-// rig is a register with a clock of its own and its log.
-type rig struct {
+// testRegistry is a Registry with a manual clock and a captured log.
+type testRegistry struct {
 	*Registry
 	now time.Duration
 	log strings.Builder
 }
 
-func newRig() *rig {
-	r := &rig{now: time.Hour}
+func newTestRegistry() *testRegistry {
+	r := &testRegistry{now: time.Hour}
 	r.Registry = New(names, slog.New(slog.NewTextHandler(&r.log, nil)))
 	r.clock = func() time.Duration { return r.now }
 	return r
@@ -32,8 +32,8 @@
 
 func backend(id string) Backend { return Backend{ID: coordapi.BackendID(id), Pool: "p"} }
 
-// answers lets a back end answer with a status and headers, by name and value.
-func (r *rig) answers(id string, status int, headers ...string) {
+// respond records a response of a back end; headers are pairs of name and value.
+func (r *testRegistry) respond(id string, status int, headers ...string) {
 	header := http.Header{}
 	for i := 0; i < len(headers); i += 2 {
 		header.Add(headers[i], headers[i+1])
@@ -41,111 +41,109 @@
 	r.ObserveResponse(backend(id), id, &http.Response{StatusCode: status, Header: header})
 }
 
-func TestABackEndIsLeftAloneForAsLongAsItAsked(t *testing.T) {
-	r := newRig()
-	r.answers("a", 503, headerRetryAfter, "3")
+func TestPushbackEndsAfterRetryAfter(t *testing.T) {
+	r := newTestRegistry()
+	r.respond("a", 503, headerRetryAfter, "3")
 	assert.ErrorIs(t, r.Check("a"), ErrUnavailable)
 	assert.Equal(t, r.Status("a").Wait, 3*time.Second)
 	assert.DeepEqual(t, r.Unavailable("p"), []string{"a"})
 	assert.Equal(t, len(r.Unavailable("other")), 0)
-	// Another start at the same address has asked nothing.
+	// A pushback holds for one instance, not for its address.
 	assert.NilError(t, r.Check("b"))
 	r.now += 3*time.Second - 1
 	assert.ErrorIs(t, r.Check("a"), ErrUnavailable)
 	r.now++
 	assert.NilError(t, r.Check("a"))
 	assert.Equal(t, len(r.Unavailable("p")), 0)
-	assert.Equal(t, strings.Count(r.log.String(), "back end may be sent to again"), 1)
+	assert.Equal(t, strings.Count(r.log.String(), "pushback ended"), 1)
 }
 
-// The end of a wait is said also where nobody asks the leader for engines.
-func TestTheFiguresSayWhenAWaitIsOver(t *testing.T) {
-	r := newRig()
-	r.answers("a", 503, headerRetryAfter, "3")
-	r.answers("b", 200, names.Draining, "1")
+// The end of a wait is logged also where Unavailable is never called.
+func TestCountsRemovesExpired(t *testing.T) {
+	r := newTestRegistry()
+	r.respond("a", 503, headerRetryAfter, "3")
+	r.respond("b", 200, names.Draining, "1")
 	waiting, draining := r.Counts()
 	assert.DeepEqual(t, []int{waiting, draining}, []int{1, 1})
 	r.now += 3 * time.Second
 	waiting, draining = r.Counts()
 	assert.DeepEqual(t, []int{waiting, draining}, []int{0, 1})
-	assert.Equal(t, strings.Count(r.log.String(), "back end may be sent to again"), 1)
+	assert.Equal(t, strings.Count(r.log.String(), "pushback ended"), 1)
 }
 
-func TestTheLongestWaitHolds(t *testing.T) {
-	r := newRig()
-	r.answers("a", 503, headerRetryAfter, "5")
+func TestLongestWaitHolds(t *testing.T) {
+	r := newTestRegistry()
+	r.respond("a", 503, headerRetryAfter, "5")
 	r.now += time.Second
-	r.answers("a", 503, headerRetryAfter, "1")
+	r.respond("a", 503, headerRetryAfter, "1")
 	assert.Equal(t, r.Status("a").Wait, 4*time.Second)
-	r.answers("a", 503, headerRetryAfter, "9")
+	r.respond("a", 503, headerRetryAfter, "9")
 	assert.Equal(t, r.Status("a").Wait, 9*time.Second)
-	assert.Equal(t, strings.Count(r.log.String(), "back end pushes back"), 1, "one line a wait")
+	assert.Equal(t, strings.Count(r.log.String(), "pushback received"), 1, "one line per wait")
 }
 
-// What nobody asked for bars nobody: a panic or a wait that was not meant would take a
-// back end out.
-func TestWhatAsksForNoWait(t *testing.T) {
-	for name, answer := range map[string]struct {
+// Malformed or inapplicable values must not exclude a back end.
+func TestInapplicableValuesAreNoPushback(t *testing.T) {
+	for name, response := range map[string]struct {
 		status int
 		value  string
 	}{
-		"a success":                 {200, "30"},
-		"a limit of one caller":     {429, "30"},
-		"another start's answer":    {421, "30"},
-		"no time":                   {503, "0"},
-		"a negative time":           {503, "-3"},
-		"no number":                 {503, "a while"},
-		"a date without a date":     {503, "Thu, 03 Dec 2026 12:00:00 GMT"},
-		"an answer without a value": {503, ""},
+		"success":                      {200, "30"},
+		"limit of one client":          {429, "30"},
+		"response of another instance": {421, "30"},
+		"zero":                         {503, "0"},
+		"negative":                     {503, "-3"},
+		"not a number":                 {503, "a while"},
+		"date without a Date header":   {503, "Thu, 03 Dec 2026 12:00:00 GMT"},
+		"empty value":                  {503, ""},
 	} {
-		r := newRig()
-		r.answers("a", answer.status, headerRetryAfter, answer.value)
+		r := newTestRegistry()
+		r.respond("a", response.status, headerRetryAfter, response.value)
 		assert.NilError(t, r.Check("a"), name)
 	}
-	r := newRig()
+	r := newTestRegistry()
 	for range 100 {
-		r.answers("a", 503, headerRetryAfter, "a while")
+		r.respond("a", 503, headerRetryAfter, "a while")
 	}
-	assert.Equal(t, strings.Count(r.log.String(), "cannot be read"), 1)
-	// An order's answer without a known start.
-	r.answers("", 503, headerRetryAfter, "30")
+	assert.Equal(t, strings.Count(r.log.String(), "invalid pushback header"), 1)
+	// A response to an order whose back end is not identified.
+	r.respond("", 503, headerRetryAfter, "30")
 	assert.NilError(t, r.Check(""))
 }
 
-func TestABackEndThatSaysSoDrainsForGood(t *testing.T) {
+func TestDrainingIsPermanent(t *testing.T) {
 	for _, status := range []int{200, 202, 404, 409, 429, 500, 503} {
-		r := newRig()
-		r.answers("a", status, names.Draining, "1")
+		r := newTestRegistry()
+		r.respond("a", status, names.Draining, "1")
 		assert.ErrorIs(t, r.Check("a"), ErrUnavailable, "%d", status)
-		// Later answers that say nothing of it take nothing back.
-		r.answers("a", 200)
+		// Later responses without the header do not clear it.
+		r.respond("a", 200)
 		r.now += time.Hour
 		assert.ErrorIs(t, r.Check("a"), ErrUnavailable)
 		assert.DeepEqual(t, r.Unavailable("p"), []string{"a"})
-		assert.Equal(t, strings.Count(r.log.String(), "back end drains"), 1)
+		assert.Equal(t, strings.Count(r.log.String(), "back end is draining"), 1)
 	}
-	r := newRig()
-	r.answers("a", 200, names.Draining, "0")
+	r := newTestRegistry()
+	r.respond("a", 200, names.Draining, "0")
 	assert.NilError(t, r.Check("a"))
 }
 
-// The one that answers 421 may be another start at the address, above all the one before:
-// that it drains says nothing of its successor.
-func TestAnotherStartSaysNothingOfThisOne(t *testing.T) {
-	r := newRig()
-	r.answers("a", 421, names.Draining, "1", names.InstanceIs, "b")
-	r.answers("a", 421, names.Draining, "1")
+// A 421 may come from another instance at the address: its draining header does not apply.
+func TestDrainingOfAnotherInstanceIsIgnored(t *testing.T) {
+	r := newTestRegistry()
+	r.respond("a", 421, names.Draining, "1", names.InstanceIs, "b")
+	r.respond("a", 421, names.Draining, "1")
 	assert.NilError(t, r.Check("a"))
-	r.answers("a", 421, names.Draining, "1", names.InstanceIs, "a")
+	r.respond("a", 421, names.Draining, "1", names.InstanceIs, "a")
 	assert.ErrorIs(t, r.Check("a"), ErrUnavailable)
 }
 
-func TestTheLeaderIsToldOnceAndEachNewOneOfAllThatDrain(t *testing.T) {
-	r := newRig()
-	r.answers("a", 503, headerRetryAfter, "3")
-	r.answers("a", 503, headerRetryAfter, "3")
-	r.answers("b", 200, names.Draining, "1")
-	r.answers("b", 200, names.Draining, "1")
+func TestRegistryReportsOnceAndDrainingAgain(t *testing.T) {
+	r := newTestRegistry()
+	r.respond("a", 503, headerRetryAfter, "3")
+	r.respond("a", 503, headerRetryAfter, "3")
+	r.respond("b", 200, names.Draining, "1")
+	r.respond("b", 200, names.Draining, "1")
 	drains := coordapi.Trouble{ID: "b", Kind: coordapi.Draining}
 	assert.DeepEqual(t, r.TakeUnreported(), []coordapi.Trouble{{ID: "a", Kind: coordapi.Busy, For: 3 * time.Second}, drains})
 	assert.Equal(t, len(r.TakeUnreported()), 0)
@@ -153,12 +151,12 @@
 	assert.DeepEqual(t, r.TakeUnreported(), []coordapi.Trouble{drains})
 }
 
-func TestWhatIsKeptIsBounded(t *testing.T) {
-	r := newRig()
-	for i := range 3 * maxKept {
+func TestEntriesAreBounded(t *testing.T) {
+	r := newTestRegistry()
+	for i := range 3 * maxEntries {
 		r.now++
-		r.answers(fmt.Sprint(i), 200, names.Draining, "1")
+		r.respond(fmt.Sprint(i), 200, names.Draining, "1")
 	}
-	assert.Assert(t, len(r.starts) <= maxKept && len(r.starts) >= maxKept/2, "%d", len(r.starts))
-	assert.ErrorIs(t, r.Check(coordapi.BackendID(fmt.Sprint(3*maxKept-1))), ErrUnavailable)
+	assert.Assert(t, len(r.entries) <= maxEntries && len(r.entries) >= maxEntries/2, "%d", len(r.entries))
+	assert.ErrorIs(t, r.Check(coordapi.BackendID(fmt.Sprint(3*maxEntries-1))), ErrUnavailable)
 }
