--- a/internal/poison/digest.go
+++ b/internal/poison/digest.go
@@ -1,7 +1,6 @@
-// Package poison tells requests that end the back ends which run them from those
-// that only ran beside them. Such a request is called a poison request: its caller,
-// or several, send it again under new IDs and at any router, and each time another
-// back end ends with all that it was running.
+// Package poison detects poison requests: requests that end the back ends that run them.
+// Clients resend such a request under new IDs and through any router, and each attempt ends
+// another back end together with all other requests that it runs.
 //
 // The package does no I/O; time is an argument.
 package poison
@@ -14,18 +13,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Digest names what a request asks for: requests with equal caller, method, host,
-// target and body have the same. It is a part of a SHA-256 sum, so that no caller
-// can make a request that has the digest of another caller's. 0 means none.
+// Digest identifies the content of a request: requests with the same tenant, method, host,
+// target and body have the same digest. It is a prefix of a SHA-256 sum, so that a client
+// cannot forge the digest of another tenant's request. 0 is no digest.
 type Digest uint64
 
-// String returns the digest as it stands in logs: 16 hexadecimal digits.
+// String returns the digest as 16 hexadecimal digits.
 func (d Digest) String() string {
 	text := strconv.FormatUint(uint64(d), 16)
 	return "0000000000000000"[len(text):] + text
 }
 
-// ParseDigest reads a digest as String writes it.
+// ParseDigest parses the result of String.
 func ParseDigest(text string) (Digest, error) {
 	number, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != 16 || number == 0 {
@@ -34,8 +33,8 @@
 	return Digest(number), nil
 }
 
-// DigestOf returns the digest of a request. Caller is the tenant, empty on routes
-// that need no key; target is the path with its query.
+// DigestOf returns the digest of a request. Caller is the tenant, empty on routes that need no
+// key; target is the path with its query.
 func DigestOf(caller, method, host, target string, body []byte) Digest {
 	head := make([]byte, 0, len(caller)+len(method)+len(host)+len(target)+4*binary.MaxVarintLen64)
 	for _, part := range []string{caller, method, host, target} {
@@ -43,7 +42,7 @@
 		head = append(head, part...)
 	}
 	sum := sha256.New()
-	// A hash takes all that is written.
+	// Write of a hash returns no error.
 	_, _ = sum.Write(head)
 	_, _ = sum.Write(body)
 	var out [sha256.Size]byte
--- a/internal/poison/digest_test.go
+++ b/internal/poison/digest_test.go
@@ -15,7 +15,7 @@
 	// Output: true false
 }
 
-func TestEachPartOfARequestTells(t *testing.T) {
+func TestDigestCoversEachPart(t *testing.T) {
 	digests := []Digest{
 		DigestOf("t", "POST", "h", "/p", []byte("b")),
 		DigestOf("u", "POST", "h", "/p", []byte("b")),
@@ -24,7 +24,7 @@
 		DigestOf("t", "POST", "h", "/q", []byte("b")),
 		DigestOf("t", "POST", "h", "/p?x", []byte("b")),
 		DigestOf("t", "POST", "h", "/p", []byte("c")),
-		// Parts that run into each other.
+		// Parts with the same concatenation.
 		DigestOf("tP", "OST", "h", "/p", []byte("b")),
 		DigestOf("t", "POST", "h/", "p", []byte("b")),
 		DigestOf("t", "POST", "h", "/pb", nil),
@@ -39,8 +39,7 @@
 	}
 }
 
-// Each request is hashed once. 4 KiB is a long body of the calls, 200 KiB that of a
-// prompt of 50,000 tokens.
+// Sizes are those of short and long API calls and of a prompt of 50,000 tokens.
 func BenchmarkDigestOf(b *testing.B) {
 	for _, size := range []int{800, 4 << 10, 200 << 10} {
 		body := make([]byte, size)
--- a/internal/poison/ledger.go
+++ b/internal/poison/ledger.go
@@ -8,167 +8,161 @@
 	"time"
 )
 
-// EvidenceTTL is how long an ended attempt counts, and BlockDuration how long a request
-// stays blocked. Whoever mends what it breaks needs longer; whoever was blocked by
-// mistake is helped sooner by hand.
+// EvidenceTTL is how long a failed attempt counts, and BlockDuration how long a request is
+// blocked. An operator may unblock a request earlier.
 const (
 	EvidenceTTL   = 10 * time.Minute
 	BlockDuration = 10 * time.Minute
 )
 
 const (
-	// endsToBlock is under how many ended back ends a request is blocked. While several
-	// poison requests come in, harmless ones that are repeated elsewhere are often at two
-	// back ends that end, hardly ever at three.
+	// endsToBlock is the number of ended back ends at which a request is blocked. Harmless
+	// requests that are retried during several poison requests often meet two ends, but rarely
+	// three.
 	endsToBlock = 3
-	// endsToSuspect is from how many on a request is watched: a whole answer to it shows
-	// that it is harmless.
+	// endsToSuspect is the number of ends from which complete responses to a request are
+	// reported as evidence that it is harmless.
 	endsToSuspect = endsToBlock - 1
-	// unrelatedForOne is how many back ends that end without a request, about when
-	// others end under it, ask for one more end before it is blocked: back ends end
-	// for another cause then.
-	unrelatedForOne = 8
-	// mostDoubt is how many more ends doubts may ask for, and endsInAnyCase how many are
-	// enough even if blocked requests account for some: no more than three tries may
-	// follow the third end. A harmless request is hardly tried that often.
-	mostDoubt     = 2
-	endsInAnyCase = 6
-	// nearby is how much before the first and after the last end under a request
-	// others count as at the same time.
-	nearby = time.Second
-	// lifeMargin is how long after an attempt broke off a heartbeat must arrive to
-	// show that the back end lives: one that was sent before may still be under way,
-	// and nodes that answer heartbeats tell of them four times a second.
-	lifeMargin = time.Second
-	// latestHeartbeat is the same for a back end that refused connections right after and
-	// has a successor: a heartbeat that a cut held back may arrive seconds late.
-	latestHeartbeat = 10 * time.Second
-	// maxRequests bounds for how many requests evidence is kept, about 200 B each. The
-	// loss of a fifth of a hundred engines cuts 900.
+	// unrelatedPerEnd is the number of unrelated ends at about the same time that raise the
+	// number of ends required by one: they show another cause.
+	unrelatedPerEnd = 8
+	// maxExtraEnds bounds the additional ends required, and endsToBlockAlways is the number of
+	// ends that is always enough, even if blocked requests account for some.
+	maxExtraEnds      = 2
+	endsToBlockAlways = 6
+	// unrelatedMargin extends the time between the first and last end under a request in which
+	// other ends count as unrelated ones.
+	unrelatedMargin = time.Second
+	// heartbeatMargin is the delay after a failed attempt within which a heartbeat does not
+	// show that the back end is alive: it may have been in flight.
+	heartbeatMargin = time.Second
+	// lateHeartbeatMargin replaces heartbeatMargin for a back end that refused connections and
+	// has a successor: a network partition may have delayed the heartbeat.
+	lateHeartbeatMargin = 10 * time.Second
+	// maxRequests bounds the requests with evidence.
 	maxRequests = 4096
 )
 
-// FailedAttempt is an attempt at a back end that ended without a whole answer.
+// FailedAttempt is an attempt at a back end that ended without a complete response.
 type FailedAttempt struct {
 	Backend string `json:"b"`
 	Request Digest `json:"d"`
-	// Age is how long ago that was, and Lasted how long the attempt had lasted.
+	// Age is the time since the attempt ended, and Duration the time that it lasted.
 	Age      time.Duration `json:"a,omitempty"`
 	Duration time.Duration `json:"l,omitempty"`
-	// Down says that no process listened at the back end's address right after.
+	// Down is set if the back end's address refused connections right afterwards.
 	Down bool `json:"x,omitempty"`
-	// Silent says that nothing broke the attempt off: it was given up after the back
-	// end had said nothing for a while.
+	// Silent is set if the attempt was cancelled after the back end had sent nothing for a
+	// while.
 	Silent bool `json:"s,omitempty"`
 }
 
-// NoHeartbeat is Signs.Heard of a back end that has sent no heartbeat yet.
+// NoHeartbeat is the LastHeartbeat of a back end that has sent none yet.
 const NoHeartbeat = time.Duration(math.MinInt64 / 2)
 
-// Liveness is what is known of a back end beside its requests.
+// Liveness is the state of a back end according to its heartbeats and row.
 type Liveness struct {
-	// LastHeartbeat is when its last heartbeat arrived, by the Detector's clock.
+	// LastHeartbeat is when the last heartbeat arrived, by the Detector's clock.
 	LastHeartbeat time.Duration
-	// Gone says that it has a successor at its address, is on no list any more, or
-	// has missed several heartbeats.
+	// Gone is set if the back end has a successor at its address, has no row any more, or has
+	// missed several heartbeats.
 	Gone bool
-	// Departing says that its end was announced.
+	// Departing is set if the end was announced.
 	Departing bool
 }
 
-// Detector keeps under which requests back ends have ended. It is not safe for
+// Detector collects failed attempts and finds the requests that caused them. It is not safe for
 // concurrent use.
 type Detector struct {
-	// beat is the time between two heartbeats of a back end.
-	beat     time.Duration
-	requests map[Digest]*request
+	// heartbeatInterval is the time between two heartbeats of a back end.
+	heartbeatInterval time.Duration
+	requests          map[Digest]*evidence
 }
 
-// request is the evidence against one request.
-type request struct {
-	// endings are by back end.
-	endings map[string]ending
-	// answered is when it was last seen to be harmless.
-	answered time.Duration
-	last     time.Duration
+// evidence is the evidence against one request.
+type evidence struct {
+	// failures are by back end.
+	failures map[string]failure
+	// harmlessAt is when the request was last shown to be harmless.
+	harmlessAt time.Duration
+	lastUpdate time.Duration
 }
 
-type ending struct {
+type failure struct {
 	from, at     time.Duration
 	down, silent bool
 }
 
-// NewDetector returns an empty ledger. Beat is the time between two heartbeats.
-func NewDetector(beat time.Duration) *Detector {
-	return &Detector{beat: beat, requests: map[Digest]*request{}}
+// NewDetector returns an empty Detector.
+func NewDetector(heartbeatInterval time.Duration) *Detector {
+	return &Detector{heartbeatInterval: heartbeatInterval, requests: map[Digest]*evidence{}}
 }
 
-// Record takes an ended attempt. One that is told again changes nothing.
+// Record records a failed attempt. Recording it again has no effect.
 func (l *Detector) Record(now time.Duration, e FailedAttempt) {
 	if e.Request == 0 || e.Age > EvidenceTTL {
 		return
 	}
-	l.bound(now)
+	l.evict(now)
 	r := l.entry(e.Request)
 	at := now - e.Age
-	if old, known := r.endings[e.Backend]; known && (old.down || !e.Down) {
+	if old, known := r.failures[e.Backend]; known && (old.down || !e.Down) {
 		return
 	}
-	r.endings[e.Backend] = ending{from: at - e.Duration, at: at, down: e.Down, silent: e.Silent}
-	r.last = max(r.last, at)
+	r.failures[e.Backend] = failure{from: at - e.Duration, at: at, down: e.Down, silent: e.Silent}
+	r.lastUpdate = max(r.lastUpdate, at)
 }
 
-// MarkHarmless takes that a request is harmless: what has ended under it until now does not
-// count against it.
+// MarkHarmless records that a request is harmless: its failed attempts until now do not count.
 func (l *Detector) MarkHarmless(now time.Duration, d Digest) {
 	r := l.entry(d)
-	r.answered, r.last = max(r.answered, now), max(r.last, now)
+	r.harmlessAt, r.lastUpdate = max(r.harmlessAt, now), max(r.lastUpdate, now)
 }
 
-func (l *Detector) entry(d Digest) *request {
+func (l *Detector) entry(d Digest) *evidence {
 	r := l.requests[d]
 	if r == nil {
-		// Nothing is known before it, not even at the ledger's first moment.
-		r = &request{endings: map[string]ending{}, answered: -EvidenceTTL}
+		// The initial value precedes all failures that count.
+		r = &evidence{failures: map[string]failure{}, harmlessAt: -EvidenceTTL}
 		l.requests[d] = r
 	}
 	return r
 }
 
-// bound makes room by forgetting the older half, and all that is too old to count.
-func (l *Detector) bound(now time.Duration) {
+// evict removes outdated evidence and the older half of the rest, if there is too much.
+func (l *Detector) evict(now time.Duration) {
 	if len(l.requests) < maxRequests {
 		return
 	}
 	times := make([]time.Duration, 0, len(l.requests))
 	for _, r := range l.requests {
-		times = append(times, r.last)
+		times = append(times, r.lastUpdate)
 	}
 	slices.Sort(times)
 	limit := max(now-EvidenceTTL, times[len(times)/2])
-	maps.DeleteFunc(l.requests, func(_ Digest, r *request) bool { return r.last <= limit })
+	maps.DeleteFunc(l.requests, func(_ Digest, r *evidence) bool { return r.lastUpdate <= limit })
 }
 
-// Verdict says that a request is to be blocked.
+// Verdict is the decision to block a request.
 type Verdict struct {
 	Request Digest
-	// Backends are those that ended under it, in the order of their ends, and Unrelated
-	// counts those that ended without it at about the same time.
+	// Backends are those that ended under the request, by time, and Unrelated counts those that
+	// ended without it at about the same time.
 	Backends  []string
 	Unrelated int
 }
 
-// Evaluate returns the requests that are to be blocked, and those with almost enough
-// evidence. Signs tells what is known of a back end, and blocked which requests are
-// blocked already: an end under one of those tells nothing of others.
+// Evaluate returns the requests to block, and the suspects, which have almost enough evidence,
+// in ascending order. Signs returns the liveness of a back end, and blocked reports whether a
+// request is blocked already: an end under a blocked request does not count against others.
 func (l *Detector) Evaluate(now time.Duration, signs func(backend string) Liveness, blocked func(Digest) bool) (verdicts []Verdict, suspects []Digest) {
-	if !l.pressing() {
+	if !l.hasCandidates() {
 		return nil, nil
 	}
-	c := l.open(now, signs)
+	c := l.newEvaluation(now, signs)
 	for d := range c.ends {
 		if blocked(d) {
-			c.explain(d)
+			c.attribute(d)
 		}
 	}
 	for {
@@ -176,11 +170,11 @@
 		if d == 0 {
 			break
 		}
-		verdicts = append(verdicts, Verdict{Request: d, Backends: c.inOrder(d), Unrelated: unrelated})
-		c.explain(d)
+		verdicts = append(verdicts, Verdict{Request: d, Backends: c.backendsByTime(d), Unrelated: unrelated})
+		c.attribute(d)
 	}
 	for d := range c.ends {
-		if c.count(d) >= endsToSuspect {
+		if c.unattributed(d) >= endsToSuspect {
 			suspects = append(suspects, d)
 		}
 	}
@@ -188,31 +182,31 @@
 	return verdicts, suspects
 }
 
-// pressing tells whether any request may have enough evidence to be suspected.
-func (l *Detector) pressing() bool {
+// hasCandidates reports whether any request may be a suspect.
+func (l *Detector) hasCandidates() bool {
 	for _, r := range l.requests {
-		if len(r.endings) >= endsToSuspect {
+		if len(r.failures) >= endsToSuspect {
 			return true
 		}
 	}
 	return false
 }
 
-// evaluation is one look at all evidence.
+// evaluation is the state of one Evaluate call.
 type evaluation struct {
-	// ends are the back ends that have ended under each request, and when.
+	// ends maps requests to the back ends that ended under them, and when.
 	ends map[Digest]map[string]time.Duration
-	// times is when each back end ended that did.
+	// times maps each ended back end to the time of its end.
 	times map[string]time.Duration
-	// explained are the back ends whose end a blocked request accounts for.
-	explained map[string]bool
+	// attributed is the set of back ends whose end is attributed to a blocked request.
+	attributed map[string]bool
 }
 
-func (l *Detector) open(now time.Duration, signs func(string) Liveness) *evaluation {
-	c := &evaluation{ends: map[Digest]map[string]time.Duration{}, times: map[string]time.Duration{}, explained: map[string]bool{}}
+func (l *Detector) newEvaluation(now time.Duration, signs func(string) Liveness) *evaluation {
+	c := &evaluation{ends: map[Digest]map[string]time.Duration{}, times: map[string]time.Duration{}, attributed: map[string]bool{}}
 	known := map[string]Liveness{}
 	for d, r := range l.requests {
-		for backend, e := range r.endings {
+		for backend, e := range r.failures {
 			s, asked := known[backend]
 			if !asked {
 				s = signs(backend)
@@ -222,7 +216,7 @@
 				continue
 			}
 			c.times[backend] = max(c.times[backend], e.at)
-			if e.at <= r.answered {
+			if e.at <= r.harmlessAt {
 				continue
 			}
 			if c.ends[d] == nil {
@@ -234,109 +228,107 @@
 	return c
 }
 
-// ended tells whether a back end ended while an attempt was under way there.
-func (l *Detector) ended(e ending, s Liveness) bool {
+// ended reports whether a back end ended during an attempt.
+func (l *Detector) ended(e failure, s Liveness) bool {
 	switch {
 	case s.Departing:
 		return false
 	case e.silent:
-		// It ended within a heartbeat's time of the last that was heard. An attempt
-		// that was given up before that time is over may have been stopped first; one
-		// that began after it was never run.
-		last := s.LastHeartbeat + l.beat
+		// The back end ended within one heartbeat interval of its last heartbeat. An attempt
+		// cancelled before the end of that interval may have ended first, and one that began
+		// after it never ran.
+		last := s.LastHeartbeat + l.heartbeatInterval
 		return s.Gone && e.from <= last && e.at > last
 	case e.down && s.Gone:
-		return s.LastHeartbeat <= e.at+latestHeartbeat
+		return s.LastHeartbeat <= e.at+lateHeartbeatMargin
 	}
-	return (e.down || s.Gone) && s.LastHeartbeat <= e.at+lifeMargin
+	return (e.down || s.Gone) && s.LastHeartbeat <= e.at+heartbeatMargin
 }
 
-// explain takes the ends under a request as its doing.
-func (c *evaluation) explain(d Digest) {
+// attribute attributes the ends under a request to it.
+func (c *evaluation) attribute(d Digest) {
 	for backend := range c.ends[d] {
-		c.explained[backend] = true
+		c.attributed[backend] = true
 	}
 	delete(c.ends, d)
 }
 
-// count is how many ends under a request nothing else accounts for.
-func (c *evaluation) count(d Digest) int {
+// unattributed returns the number of ends under a request that are not attributed to others.
+func (c *evaluation) unattributed(d Digest) int {
 	n := 0
 	for backend := range c.ends[d] {
-		if !c.explained[backend] {
+		if !c.attributed[backend] {
 			n++
 		}
 	}
 	return n
 }
 
-// worst returns the request under which most back ends have ended, if there are enough.
+// worst returns the request with the most ends among those with enough of them; 0 for none.
 func (c *evaluation) worst() (worst Digest, unrelated int) {
 	most := 0
 	for d, ends := range c.ends {
-		n := c.count(d)
+		n := c.unattributed(d)
 		if len(ends) < endsToBlock || n < most || (n == most && worst != 0 && d > worst) {
 			continue
 		}
 		others := c.unrelated(d)
-		if n >= endsToBlock+c.doubt(d, others) || len(ends) >= endsInAnyCase {
+		if n >= endsToBlock+c.extraEnds(d, others) || len(ends) >= endsToBlockAlways {
 			worst, most, unrelated = d, n, others
 		}
 	}
 	return worst, unrelated
 }
 
-// doubt is how many more ends than usual it takes to block a request.
-func (c *evaluation) doubt(d Digest, unrelated int) int {
-	doubt := unrelated / unrelatedForOne
-	if c.metByOthers(d) {
-		doubt++
+// extraEnds returns the number of ends that are required in addition to endsToBlock.
+func (c *evaluation) extraEnds(d Digest, unrelated int) int {
+	extraEnds := unrelated / unrelatedPerEnd
+	if c.sharedWithSuspects(d) {
+		extraEnds++
 	}
 	if c.indistinguishable(d) {
-		doubt = mostDoubt
+		extraEnds = maxExtraEnds
 	}
-	return min(doubt, mostDoubt)
+	return min(extraEnds, maxExtraEnds)
 }
 
-// metByOthers tells whether some other suspect met each end that counts against a
-// request. With one to four poison requests at a time, beside harmless ones that are
-// tried up to four times, 1 of those was blocked without it to 500 of the former, and
-// 20 to 10,000 with it (TestOnlyPoisonRequestsAreBlocked with 200 and 4,000 seeds).
-func (c *evaluation) metByOthers(d Digest) bool {
+// sharedWithSuspects reports whether each end that counts against a request also counts against
+// another suspect. Requiring one more end then keeps harmless requests from being blocked.
+func (c *evaluation) sharedWithSuspects(d Digest) bool {
 	for backend := range c.ends[d] {
-		if !c.explained[backend] && !c.metByAnother(backend, d) {
+		if !c.attributed[backend] && !c.sharedWithOther(backend, d) {
 			return false
 		}
 	}
 	return true
 }
 
-// metByAnother tells whether a suspect other than one ended with a back end.
-func (c *evaluation) metByAnother(backend string, but Digest) bool {
+// sharedWithOther reports whether a suspect other than one ended with a back end.
+func (c *evaluation) sharedWithOther(backend string, but Digest) bool {
 	for d, ends := range c.ends {
-		if _, under := ends[backend]; under && d != but && len(ends) >= endsToSuspect && c.count(d) >= endsToSuspect {
+		if _, under := ends[backend]; under && d != but && len(ends) >= endsToSuspect && c.unattributed(d) >= endsToSuspect {
 			return true
 		}
 	}
 	return false
 }
 
-// unrelated counts the back ends that ended without a request at about the time when
-// others ended under it.
+// unrelated counts the back ends that ended without a request at about the time of the ends
+// under it.
 func (c *evaluation) unrelated(d Digest) int {
 	times := slices.Sorted(maps.Values(c.ends[d]))
 	first, last := times[0], times[len(times)-1]
 	n := 0
 	for backend, at := range c.times {
-		if _, under := c.ends[d][backend]; !under && !c.explained[backend] && at >= first-nearby && at <= last+nearby {
+		if _, under := c.ends[d][backend]; !under && !c.attributed[backend] && at >= first-unrelatedMargin && at <= last+unrelatedMargin {
 			n++
 		}
 	}
 	return n
 }
 
-// indistinguishable tells whether another request met all the ends that count against
-// this one: neither is blocked until one more end tells them apart.
+// indistinguishable reports whether another request met all ends that count against this one.
+// Neither is blocked until a further end tells them apart.
 func (c *evaluation) indistinguishable(d Digest) bool {
 	for other := range c.ends {
 		if other != d && c.covers(other, d) {
@@ -348,15 +340,15 @@
 
 func (c *evaluation) covers(other, d Digest) bool {
 	for backend := range c.ends[d] {
-		if _, under := c.ends[other][backend]; !under && !c.explained[backend] {
+		if _, under := c.ends[other][backend]; !under && !c.attributed[backend] {
 			return false
 		}
 	}
 	return true
 }
 
-// inOrder returns the back ends that ended under a request, the first first.
-func (c *evaluation) inOrder(d Digest) []string {
+// backendsByTime returns the back ends that ended under a request, in the order of their ends.
+func (c *evaluation) backendsByTime(d Digest) []string {
 	var out []string
 	for backend := range c.ends[d] {
 		out = append(out, backend)
--- a/internal/poison/ledger_test.go
+++ b/internal/poison/ledger_test.go
@@ -11,30 +11,30 @@
 	"pgregory.net/rapid"
 )
 
-const testBeat = 1200 * time.Millisecond
+const testHeartbeatInterval = 1200 * time.Millisecond
 
-// world is what a leader knows of back ends in a test.
-type world struct {
-	ledger  *Detector
-	signs   map[string]Liveness
-	blocked map[Digest]bool
+// fixture is a Detector with the state of a leader.
+type fixture struct {
+	detector *Detector
+	signs    map[string]Liveness
+	blocked  map[Digest]bool
 }
 
-func newWorld() *world {
-	return &world{ledger: NewDetector(testBeat), signs: map[string]Liveness{}, blocked: map[Digest]bool{}}
+func newFixture() *fixture {
+	return &fixture{detector: NewDetector(testHeartbeatInterval), signs: map[string]Liveness{}, blocked: map[Digest]bool{}}
 }
 
-// end notes that a back end ended at a time while it ran these requests.
-func (w *world) end(at time.Duration, backend string, requests ...Digest) {
-	w.signs[backend] = Liveness{LastHeartbeat: at - testBeat/2}
+// endBackend records that a back end ended while it ran the given requests.
+func (w *fixture) endBackend(at time.Duration, backend string, requests ...Digest) {
+	w.signs[backend] = Liveness{LastHeartbeat: at - testHeartbeatInterval/2}
 	for _, d := range requests {
-		w.ledger.Record(at, FailedAttempt{Backend: backend, Request: d, Down: true, Duration: 100 * time.Millisecond})
+		w.detector.Record(at, FailedAttempt{Backend: backend, Request: d, Down: true, Duration: 100 * time.Millisecond})
 	}
 }
 
-// judge blocks what is to be blocked and returns it.
-func (w *world) judge(now time.Duration) []Digest {
-	verdicts, _ := w.ledger.Evaluate(now, func(id string) Liveness { return w.signs[id] }, func(d Digest) bool { return w.blocked[d] })
+// block blocks the requests that Evaluate returns, and returns them.
+func (w *fixture) block(now time.Duration) []Digest {
+	verdicts, _ := w.detector.Evaluate(now, func(id string) Liveness { return w.signs[id] }, func(d Digest) bool { return w.blocked[d] })
 	var out []Digest
 	for _, v := range verdicts {
 		w.blocked[v.Request] = true
@@ -43,212 +43,209 @@
 	return out
 }
 
-func TestThreeEndsBlockARequestAndNothingBesideIt(t *testing.T) {
-	w := newWorld()
-	w.end(1*time.Second, "a", 1, 2, 3, 4)
-	w.end(2*time.Second, "b", 1, 5, 2)
-	assert.Equal(t, len(w.judge(2*time.Second)), 0)
-	_, suspects := w.ledger.Evaluate(2*time.Second, func(id string) Liveness { return w.signs[id] }, func(Digest) bool { return false })
+func TestThreeEndsBlockRequest(t *testing.T) {
+	w := newFixture()
+	w.endBackend(1*time.Second, "a", 1, 2, 3, 4)
+	w.endBackend(2*time.Second, "b", 1, 5, 2)
+	assert.Equal(t, len(w.block(2*time.Second)), 0)
+	_, suspects := w.detector.Evaluate(2*time.Second, func(id string) Liveness { return w.signs[id] }, func(Digest) bool { return false })
 	assert.DeepEqual(t, suspects, []Digest{1, 2})
-	w.end(3*time.Second, "c", 6, 1)
-	verdicts, _ := w.ledger.Evaluate(3*time.Second, func(id string) Liveness { return w.signs[id] }, func(Digest) bool { return false })
+	w.endBackend(3*time.Second, "c", 6, 1)
+	verdicts, _ := w.detector.Evaluate(3*time.Second, func(id string) Liveness { return w.signs[id] }, func(Digest) bool { return false })
 	assert.DeepEqual(t, verdicts, []Verdict{{Request: 1, Backends: []string{"a", "b", "c"}}})
 }
 
-// The word of an end may be lost and come twice, and each router that ran a copy of the
-// request has one.
-func TestAnEndCountsOnce(t *testing.T) {
-	w := newWorld()
+// Reports may be lost and repeated, and each router with a copy of the request sends one.
+func TestRepeatedReportsCountOnce(t *testing.T) {
+	w := newFixture()
 	for range 5 {
-		w.end(time.Second, "a", 1)
+		w.endBackend(time.Second, "a", 1)
 	}
-	w.ledger.Record(2*time.Second, FailedAttempt{Backend: "a", Request: 1, Age: time.Second, Down: true})
-	assert.Equal(t, len(w.judge(2*time.Second)), 0)
+	w.detector.Record(2*time.Second, FailedAttempt{Backend: "a", Request: 1, Age: time.Second, Down: true})
+	assert.Equal(t, len(w.block(2*time.Second)), 0)
 }
 
-// A rack takes hundreds of requests along, and none of them did anything.
-func TestTheLossOfManyBackEndsBlocksNobody(t *testing.T) {
-	w := newWorld()
+// The loss of a rack ends many requests at once; none of them is the cause.
+func TestRackLossBlocksNoRequest(t *testing.T) {
+	w := newFixture()
 	request := Digest(1)
 	for i := range 30 {
 		for range 15 {
-			w.end(time.Second, fmt.Sprint("rack-", i), request)
+			w.endBackend(time.Second, fmt.Sprint("rack-", i), request)
 			request++
 		}
 	}
-	assert.Equal(t, len(w.judge(2*time.Second)), 0)
+	assert.Equal(t, len(w.block(2*time.Second)), 0)
 }
 
-// Back ends end one after the other for a cause of their own, and a request that may be
-// repeated meets the next one each time. Others end at the same time without it.
-func TestARollOfCrashesBlocksNobody(t *testing.T) {
-	w := newWorld()
+// Back ends end one after the other for another cause, and a retried request meets several of
+// them.
+func TestSuccessiveCrashesBlockNoRequest(t *testing.T) {
+	w := newFixture()
 	request := Digest(1000)
 	for i := range 40 {
 		at := time.Duration(i) * 400 * time.Millisecond
-		w.end(at, fmt.Sprint("engine-", i), request, request+1, 1)
-		// Each request is tried four times at most; 1 stands for the unluckiest.
+		w.endBackend(at, fmt.Sprint("engine-", i), request, request+1, 1)
+		// Each request is tried four times at most; request 2 meets an end each time.
 		if i >= 18 && i < 22 {
-			w.end(at, fmt.Sprint("engine-", i), 2)
+			w.endBackend(at, fmt.Sprint("engine-", i), 2)
 		}
 		request += 2
 		if i == 3 {
-			w.ledger.MarkHarmless(at+1, 1)
+			w.detector.MarkHarmless(at+1, 1)
 		}
 	}
-	assert.Assert(t, !slices.Contains(w.judge(20*time.Second), Digest(2)))
+	assert.Assert(t, !slices.Contains(w.block(20*time.Second), Digest(2)))
 }
 
-// Engines that only break answers off go on to send heartbeats.
-func TestABackEndThatLivesOnEndedNothing(t *testing.T) {
-	w := newWorld()
+// A back end that only breaks responses off continues to send heartbeats.
+func TestHeartbeatAfterFailureIsNoEnd(t *testing.T) {
+	w := newFixture()
 	for i, id := range []string{"a", "b", "c", "d"} {
 		at := time.Duration(i) * 2 * time.Second
-		w.ledger.Record(at, FailedAttempt{Backend: id, Request: 1, Down: true})
+		w.detector.Record(at, FailedAttempt{Backend: id, Request: 1, Down: true})
 		w.signs[id] = Liveness{LastHeartbeat: at + 1100*time.Millisecond}
 	}
-	assert.Equal(t, len(w.judge(10*time.Second)), 0)
-	// One that still listened did not end either, as far as is known.
-	w = newWorld()
+	assert.Equal(t, len(w.block(10*time.Second)), 0)
+	// A back end that still accepts connections is not known to have ended,
+	w = newFixture()
 	for _, id := range []string{"a", "b", "c", "d"} {
-		w.ledger.Record(time.Second, FailedAttempt{Backend: id, Request: 1})
+		w.detector.Record(time.Second, FailedAttempt{Backend: id, Request: 1})
 		w.signs[id] = Liveness{LastHeartbeat: 500 * time.Millisecond}
 	}
-	assert.Equal(t, len(w.judge(time.Second)), 0)
-	// Until another start is heard of at its address.
+	assert.Equal(t, len(w.block(time.Second)), 0)
+	// until another instance is registered at its address.
 	for id := range w.signs {
 		w.signs[id] = Liveness{LastHeartbeat: 500 * time.Millisecond, Gone: true}
 	}
-	assert.DeepEqual(t, w.judge(3*time.Second), []Digest{1})
+	assert.DeepEqual(t, w.block(3*time.Second), []Digest{1})
 }
 
-// A heartbeat that a cut held back arrives after the sender's successor has registered.
-func TestALateHeartbeatDoesNotBringABackEndBack(t *testing.T) {
-	w := newWorld()
+// A delayed heartbeat arrives after the successor has registered.
+func TestDelayedHeartbeatIsIgnored(t *testing.T) {
+	w := newFixture()
 	for i, id := range []string{"a", "b", "c"} {
-		w.end(time.Duration(i)*time.Second, id, 1)
+		w.endBackend(time.Duration(i)*time.Second, id, 1)
 		w.signs[id] = Liveness{LastHeartbeat: time.Duration(i+3) * time.Second, Gone: true}
 	}
-	assert.DeepEqual(t, w.judge(10*time.Second), []Digest{1})
+	assert.DeepEqual(t, w.block(10*time.Second), []Digest{1})
 }
 
-// An engine whose machine is lost breaks no connection. What ran there is given up
-// after a while: only what began before it fell silent, and was given up after, can
-// have ended it.
-func TestSilenceIsAnEndOnceTheBackEndIsGone(t *testing.T) {
+// The loss of a machine closes no connections. Only an attempt that began before the last
+// heartbeat interval ended and was cancelled after it can be the cause.
+func TestSilenceIsAnEndOnceBackendIsGone(t *testing.T) {
 	cases := map[string]struct {
 		ended   FailedAttempt
 		signs   Liveness
 		blocked bool
 	}{
-		"silent and gone":              {FailedAttempt{Age: 0, Duration: 5 * time.Second}, Liveness{LastHeartbeat: 6 * time.Second, Gone: true}, true},
-		"silent and there":             {FailedAttempt{Duration: 5 * time.Second}, Liveness{LastHeartbeat: 6 * time.Second}, false},
-		"heard of later":               {FailedAttempt{Duration: 5 * time.Second}, Liveness{LastHeartbeat: 9500 * time.Millisecond, Gone: true}, false},
-		"given up before it ended":     {FailedAttempt{Age: 4 * time.Second, Duration: time.Second}, Liveness{LastHeartbeat: 6 * time.Second, Gone: true}, false},
-		"begun after it ended":         {FailedAttempt{Duration: 2 * time.Second}, Liveness{LastHeartbeat: 6 * time.Second, Gone: true}, false},
-		"its end was announced":        {FailedAttempt{Duration: 5 * time.Second}, Liveness{LastHeartbeat: 6 * time.Second, Gone: true, Departing: true}, false},
-		"a new leader has heard of it": {FailedAttempt{Duration: 5 * time.Second}, Liveness{LastHeartbeat: NoHeartbeat, Gone: true}, false},
+		"silent and gone":             {FailedAttempt{Age: 0, Duration: 5 * time.Second}, Liveness{LastHeartbeat: 6 * time.Second, Gone: true}, true},
+		"silent, not gone":            {FailedAttempt{Duration: 5 * time.Second}, Liveness{LastHeartbeat: 6 * time.Second}, false},
+		"heartbeat after the failure": {FailedAttempt{Duration: 5 * time.Second}, Liveness{LastHeartbeat: 9500 * time.Millisecond, Gone: true}, false},
+		"cancelled before the end":    {FailedAttempt{Age: 4 * time.Second, Duration: time.Second}, Liveness{LastHeartbeat: 6 * time.Second, Gone: true}, false},
+		"begun after the end":         {FailedAttempt{Duration: 2 * time.Second}, Liveness{LastHeartbeat: 6 * time.Second, Gone: true}, false},
+		"announced end":               {FailedAttempt{Duration: 5 * time.Second}, Liveness{LastHeartbeat: 6 * time.Second, Gone: true, Departing: true}, false},
+		"no heartbeat received":       {FailedAttempt{Duration: 5 * time.Second}, Liveness{LastHeartbeat: NoHeartbeat, Gone: true}, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld()
+			w := newFixture()
 			for _, id := range []string{"a", "b", "c"} {
 				ended := c.ended
 				ended.Backend, ended.Request, ended.Silent = id, 1, true
-				w.ledger.Record(10*time.Second, ended)
+				w.detector.Record(10*time.Second, ended)
 				w.signs[id] = c.signs
 			}
-			assert.Equal(t, len(w.judge(10*time.Second)) > 0, c.blocked)
+			assert.Equal(t, len(w.block(10*time.Second)) > 0, c.blocked)
 		})
 	}
 }
 
-// A request that many callers send alike, a query for instance, meets each end of a
-// back end in time. Whole answers show that it does nothing.
-func TestAWholeAnswerClearsARequest(t *testing.T) {
-	w := newWorld()
+// A common request meets each end of a back end by chance. Complete responses show that it is
+// harmless.
+func TestCompleteResponseClearsSuspect(t *testing.T) {
+	w := newFixture()
 	for i := range 20 {
 		at := time.Duration(i) * 10 * time.Second
-		w.end(at, fmt.Sprint("engine-", i), 1, Digest(100+i))
-		_, suspects := w.ledger.Evaluate(at, func(id string) Liveness { return w.signs[id] }, func(d Digest) bool { return w.blocked[d] })
+		w.endBackend(at, fmt.Sprint("engine-", i), 1, Digest(100+i))
+		_, suspects := w.detector.Evaluate(at, func(id string) Liveness { return w.signs[id] }, func(d Digest) bool { return w.blocked[d] })
 		if slices.Contains(suspects, Digest(1)) {
-			w.ledger.MarkHarmless(at+time.Second, 1)
+			w.detector.MarkHarmless(at+time.Second, 1)
 		}
-		assert.Equal(t, len(w.judge(at)), 0)
+		assert.Equal(t, len(w.block(at)), 0)
 	}
 }
 
-// An end that a blocked request accounts for tells nothing of those beside it.
-func TestWhatABlockedRequestDidIsNotCountedAgainstOthers(t *testing.T) {
-	w := newWorld()
-	w.end(1*time.Second, "a", 1, 2)
-	w.end(2*time.Second, "b", 1, 2)
-	w.end(3*time.Second, "c", 1)
-	assert.DeepEqual(t, w.judge(3*time.Second), []Digest{1})
-	w.end(4*time.Second, "d", 2, 3)
-	w.end(5*time.Second, "e", 2, 3)
-	assert.Equal(t, len(w.judge(5*time.Second)), 0)
-	w.end(6*time.Second, "f", 2)
-	assert.DeepEqual(t, w.judge(6*time.Second), []Digest{2})
+// An end that is attributed to a blocked request does not count against others.
+func TestAttributedEndsDoNotCountAgainstOthers(t *testing.T) {
+	w := newFixture()
+	w.endBackend(1*time.Second, "a", 1, 2)
+	w.endBackend(2*time.Second, "b", 1, 2)
+	w.endBackend(3*time.Second, "c", 1)
+	assert.DeepEqual(t, w.block(3*time.Second), []Digest{1})
+	w.endBackend(4*time.Second, "d", 2, 3)
+	w.endBackend(5*time.Second, "e", 2, 3)
+	assert.Equal(t, len(w.block(5*time.Second)), 0)
+	w.endBackend(6*time.Second, "f", 2)
+	assert.DeepEqual(t, w.block(6*time.Second), []Digest{2})
 }
 
-// Two requests that meet the same three ends can't be told apart; one more end does.
-func TestTwinsWaitForOneMoreEnd(t *testing.T) {
-	w := newWorld()
+// Two requests that met the same three ends are told apart by a further end.
+func TestIndistinguishableRequestsNeedAnotherEnd(t *testing.T) {
+	w := newFixture()
 	for i, id := range []string{"a", "b", "c"} {
-		w.end(time.Duration(i)*time.Second, id, 1, 2)
+		w.endBackend(time.Duration(i)*time.Second, id, 1, 2)
 	}
-	assert.Equal(t, len(w.judge(3*time.Second)), 0)
-	w.end(4*time.Second, "d", 2)
-	assert.DeepEqual(t, w.judge(4*time.Second), []Digest{2})
+	assert.Equal(t, len(w.block(3*time.Second)), 0)
+	w.endBackend(4*time.Second, "d", 2)
+	assert.DeepEqual(t, w.block(4*time.Second), []Digest{2})
 }
 
-func TestEvidenceIsForgotten(t *testing.T) {
-	w := newWorld()
-	w.end(1*time.Second, "a", 1)
-	w.end(2*time.Second, "b", 1)
-	w.end(2*time.Second+EvidenceTTL, "c", 1)
-	assert.Equal(t, len(w.judge(2*time.Second+EvidenceTTL)), 0)
+func TestEvidenceExpires(t *testing.T) {
+	w := newFixture()
+	w.endBackend(1*time.Second, "a", 1)
+	w.endBackend(2*time.Second, "b", 1)
+	w.endBackend(2*time.Second+EvidenceTTL, "c", 1)
+	assert.Equal(t, len(w.block(2*time.Second+EvidenceTTL)), 0)
 	for d := Digest(10); d < 10+3*maxRequests; d++ {
-		w.end(time.Hour+time.Duration(d)*time.Millisecond, "x", d)
-		assert.Assert(t, len(w.ledger.requests) <= maxRequests)
+		w.endBackend(time.Hour+time.Duration(d)*time.Millisecond, "x", d)
+		assert.Assert(t, len(w.detector.requests) <= maxRequests)
 	}
 }
 
-// Several poison requests come again and again at a pool of engines, with streams
-// beside them that are taken up elsewhere when they break off. All of the first are
-// blocked within six ends each, and none of the others is.
+// Poison requests are resent to a pool of engines, beside streams that are resumed elsewhere.
+// Each poison request is blocked within six ends, and no other request is blocked.
 func TestOnlyPoisonRequestsAreBlocked(t *testing.T) {
-	blockedInnocents, ends, poisons := 0, 0, 0
+	blockedHarmless, ends, poisons := 0, 0, 0
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		result := playPoison(r, 1+int(seed%4), 12+int(seed%3)*30)
-		blockedInnocents += result.innocents
+		result := simulatePoison(r, 1+int(seed%4), 12+int(seed%3)*30)
+		blockedHarmless += result.harmlessBlocked
 		ends += result.ends
 		poisons += result.poisons
-		assert.Assert(t, result.begunAfter < endsInAnyCase, "seed %d: a request began after %d ends under it", seed, result.begunAfter)
+		assert.Assert(t, result.begunAfter < endsToBlockAlways, "seed %d: a request began after %d ends under it", seed, result.begunAfter)
 	}
-	t.Logf("%d poison requests ended %d back ends; %d harmless ones were blocked", poisons, ends, blockedInnocents)
-	assert.Equal(t, blockedInnocents, 0)
+	t.Logf("%d poison requests ended %d back ends; %d harmless ones were blocked", poisons, ends, blockedHarmless)
+	assert.Equal(t, blockedHarmless, 0)
 }
 
-type played struct {
-	poisons, ends, innocents int
-	// begunAfter is the most ends under a poison request after which it was begun again:
-	// copies of it may be under way at the same time.
+type simulationResult struct {
+	poisons, ends, harmlessBlocked int
+	// begunAfter is the largest number of ends under a poison request after which it was sent
+	// again, where copies of it may run at the same time.
 	begunAfter int
 }
 
-// playPoison plays ten seconds in steps of 10 ms. Requests above 1000 are harmless; each
-// lasts up to 1.5 s and is tried four times at most.
-func playPoison(r *rand.Rand, poisons, engines int) played {
+// simulatePoison simulates ten seconds in steps of 10 ms. Requests above 1000 are harmless;
+// each lasts up to 1.5 s and is tried up to four times.
+func simulatePoison(r *rand.Rand, poisons, engines int) simulationResult {
 	type run struct {
 		d     Digest
 		until time.Duration
 		tries int
 	}
-	w := newWorld()
-	result := played{poisons: poisons}
+	w := newFixture()
+	result := simulationResult{poisons: poisons}
 	under := map[Digest]int{}
 	running := make([][]run, engines)
 	down := make([]time.Duration, engines)
@@ -290,38 +287,38 @@
 			running[i], down[i] = nil, now+3*time.Second
 			starts[i]++
 			for _, x := range broken {
-				w.end(now, fmt.Sprintf("%d#%d", i, starts[i]), x.d)
+				w.endBackend(now, fmt.Sprintf("%d#%d", i, starts[i]), x.d)
 				if x.d >= 1000 && x.tries < 3 && r.IntN(2) == 0 {
 					begin(now, run{d: x.d, tries: x.tries + 1})
 				}
 			}
 		}
-		for _, d := range w.judge(now) {
+		for _, d := range w.block(now) {
 			if d >= 1000 {
-				result.innocents++
+				result.harmlessBlocked++
 			}
 		}
 	}
 	return result
 }
 
-// Whatever comes in whatever order: no request is blocked under which fewer than three
-// back ends have ended, and one with five of its own always is.
-func TestTheBoundsOfAVerdict(t *testing.T) {
+// No request is blocked before the minimum number of ends, and each one is blocked at the
+// maximum number of unattributed ends.
+func TestEndsToBlockAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		w := newFixture()
 		under := map[Digest]map[string]bool{}
 		for i := range rapid.IntRange(1, 40).Draw(t, "ends") {
 			id := fmt.Sprint("e", i)
 			requests := rapid.SliceOfNDistinct(rapid.Uint64Range(1, 12), 1, 5, rapid.ID[uint64]).Draw(t, "requests")
 			for _, d := range requests {
-				w.end(time.Duration(i)*300*time.Millisecond, id, Digest(d))
+				w.endBackend(time.Duration(i)*300*time.Millisecond, id, Digest(d))
 				if under[Digest(d)] == nil {
 					under[Digest(d)] = map[string]bool{}
 				}
 				under[Digest(d)][id] = true
 			}
-			for _, d := range w.judge(time.Duration(i) * 300 * time.Millisecond) {
+			for _, d := range w.block(time.Duration(i) * 300 * time.Millisecond) {
 				if len(under[d]) < endsToBlock {
 					t.Fatalf("%d was blocked after %d ends", d, len(under[d]))
 				}
@@ -337,7 +334,7 @@
 						alone++
 					}
 				}
-				if alone >= endsToBlock+mostDoubt && !w.blocked[d] {
+				if alone >= endsToBlock+maxExtraEnds && !w.blocked[d] {
 					t.Fatalf("%d was not blocked after %d ends", d, alone)
 				}
 			}
@@ -345,15 +342,14 @@
 	})
 }
 
-// 900 requests that a lost rack has cut, one of them for the second time: what a look
-// at all evidence takes.
-func BenchmarkJudge(b *testing.B) {
-	w := newWorld()
+// 900 requests that ended with a rack, one of them for the second time.
+func BenchmarkEvaluate(b *testing.B) {
+	w := newFixture()
 	for i := range 900 {
-		w.end(time.Second, fmt.Sprint("rack-", i/40), Digest(i+1))
+		w.endBackend(time.Second, fmt.Sprint("rack-", i/40), Digest(i+1))
 	}
-	w.end(2*time.Second, "other", 1)
+	w.endBackend(2*time.Second, "other", 1)
 	for range b.N {
-		w.judge(2 * time.Second)
+		w.block(2 * time.Second)
 	}
 }
