--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
 // Package clock provides a monotonic clock that advances while the machine is suspended. Leases,
-// permissions to serve, votes, deadlines, windows of limits and the ages of cached state are
-// computed from it. The runtime's monotonic clock, on which time.Since and timers are based, stops
-// during a suspension, so that expired state would seem fresh after it.
+// permits, votes, deadlines, windows of limits and the ages of cached state are computed from it.
+// The runtime's monotonic clock, on which time.Since and timers are based, stops during a
+// suspension, so that expired state would seem fresh after it.
 //
 // Timers and contexts still use the runtime's clock and fire late after a suspension. State that
 // must not outlive its deadline has to be checked with this clock when it is used.
--- a/internal/clock/source_test.go
+++ b/internal/clock/source_test.go
@@ -30,8 +30,8 @@
 // testToolDirs lists the directories of the test tools, whose machines are not suspended.
 var testToolDirs = []string{"internal/soak", "internal/standin", "internal/fleet", "internal/experiment", "internal/simulation", "cmd/rehearse"}
 
-// Guards against leases, permissions, deadlines and windows of limits that a machine takes for
-// valid after a suspension, because they were computed from a clock that stopped meanwhile.
+// Guards against leases, permits, deadlines and windows of limits that seem valid after a
+// suspension because they were computed from a clock that stopped during it.
 func TestNoUseOfClockThatStopsDuringSuspension(t *testing.T) {
 	root := filepath.Join("..", "..")
 	for _, folder := range []string{"internal", "platform", "cmd"} {
