--- a/internal/edge/deployment_test.go
+++ b/internal/edge/deployment_test.go
@@ -40,12 +40,12 @@
 // deployment is a group of coordinators with routers and scripted engines, in one process on
 // loopback.
 type deployment struct {
-	t         *testing.T
-	config    []settings.Coordinator
-	nodes     []*coordinator.Server
-	routers   []*Edge
-	addresses []string
-	requests  atomic.Int64
+	t        *testing.T
+	config   []settings.Coordinator
+	nodes    []*coordinator.Server
+	routers  []*Edge
+	frontend []string
+	requests atomic.Int64
 	// callerTimeout is when callers cancel, 0 for never.
 	callerTimeout time.Duration
 
@@ -104,10 +104,10 @@
 	}
 	d.configure()
 	for range engines {
-		d.addHost("llm")
+		d.host("llm")
 	}
 	for range 4 {
-		d.addHost("app")
+		d.host("app")
 	}
 	d.awaitReady()
 	t.Cleanup(d.stop)
@@ -151,7 +151,7 @@
 		Revocation: 5 * time.Second, StopGrace: 2 * time.Second, RetryRatio: 0.2, RetryBurst: 50, RetryWindow: 10 * time.Second, MemoryLimit: 100}
 	e := New(s, names, traffic.Parse, discardLogger())
 	assert.NilError(d.t, e.Start())
-	d.routers, d.addresses = append(d.routers, e), append(d.addresses, s.Listen)
+	d.routers, d.frontend = append(d.routers, e), append(d.frontend, s.Listen)
 }
 
 func (d *deployment) stop() {
@@ -210,10 +210,10 @@
 
 func (d *deployment) awaitReady() {
 	d.t.Helper()
-	for router := range d.addresses {
+	for frontend := range d.frontend {
 		for _, path := range []string{"/chat/", "/pay/"} {
 			poll.WaitOn(d.t, func(poll.LogT) poll.Result {
-				if got := d.send(router, "ka", path, fmt.Sprintf("warm %d", d.requests.Load())); got.status != http.StatusOK || !got.complete {
+				if got := d.send(frontend, "ka", path, fmt.Sprintf("warm %d", d.requests.Load())); got.status != http.StatusOK || !got.complete {
 					return poll.Continue("%+v", got)
 				}
 				return poll.Success()
@@ -222,7 +222,7 @@
 	}
 }
 
-func (d *deployment) addHost(pool string) *host {
+func (d *deployment) host(pool string) *host {
 	h := &host{deployment: d, pool: pool, address: freeAddress(d.t), restartDelay: 400 * time.Millisecond}
 	d.mu.Lock()
 	d.hosts = append(d.hosts, h)
@@ -245,7 +245,7 @@
 	h.starts++
 	id := cmp.Or(h.name, fmt.Sprintf("%s#%d", h.address, h.starts))
 	ctx, cancel := context.WithCancel(d.t.Context())
-	e := &engine{host: h, id: id, born: state.UnixMilli(h.starts), end: cancel, rejected: map[string][]time.Time{}, tooEarly: map[string]int{}, limitSentAt: map[string]time.Time{}}
+	e := &engine{host: h, id: id, born: state.UnixMilli(h.starts), end: cancel, rejected: map[string][]time.Time{}, tooEarly: map[string]int{}, limitSent: map[string]time.Time{}}
 	h.current = e
 	h.stop = cancel
 	h.server = &http.Server{Handler: http.HandlerFunc(e.serve)}
@@ -267,10 +267,10 @@
 	tooEarly map[string]int
 	// arrivals holds the times of the requests that were run.
 	arrivals []time.Time
-	// limitedArrivals holds the requests received under a limit, and limitSentAt when each
+	// limitedArrivals holds the requests received under a limit, and limitSent when each
 	// router was first sent the limit.
 	limitedArrivals []arrival
-	limitSentAt     map[string]time.Time
+	limitSent       map[string]time.Time
 }
 
 func (e *engine) heartbeat(ctx context.Context) {
@@ -394,17 +394,17 @@
 }
 
 // send sends a request with a new ID and reads the whole response.
-func (d *deployment) send(router int, key, path, body string) result {
+func (d *deployment) send(frontend int, key, path, body string) result {
 	ctx := d.t.Context()
 	if d.callerTimeout > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, d.callerTimeout)
 		defer cancel()
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.addresses[router]+path, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.frontend[frontend]+path, strings.NewReader(body))
 	assert.NilError(d.t, err)
 	request.Host = "h"
-	request.Header.Set(names.RequestID, fmt.Sprintf("%d try-%d", router, d.requests.Add(1)))
+	request.Header.Set(names.RequestID, fmt.Sprintf("%d try-%d", frontend, d.requests.Add(1)))
 	request.Header.Set("Authorization", "Bearer "+key)
 	if !strings.HasPrefix(path, "/pay") && !strings.HasPrefix(path, "/look") {
 		request.Header.Set(names.Model, "m")
@@ -422,15 +422,15 @@
 
 // sendWithRetries sends a request and retries as Retry-After asks while engines are behind,
 // which depends on the machine that runs the test. Any other response is final.
-func (d *deployment) sendWithRetries(router int, key, path, body string) result {
-	got := d.send(router, key, path, body)
+func (d *deployment) sendWithRetries(frontend int, key, path, body string) result {
+	got := d.send(frontend, key, path, body)
 	for tries := 0; got.status == http.StatusServiceUnavailable && tries < 20; tries++ {
 		after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		if err != nil {
 			return got
 		}
 		time.Sleep(time.Duration(after * float64(time.Second)))
-		got = d.send(router, key, path, body)
+		got = d.send(frontend, key, path, body)
 	}
 	return got
 }
--- a/internal/edge/poison_test.go
+++ b/internal/edge/poison_test.go
@@ -46,7 +46,7 @@
 	d.t.Helper()
 	for i := 0; d.crashCount() < count; i++ {
 		assert.Assert(d.t, i < 60, "%d engines have crashed", d.crashCount())
-		d.send(i%len(d.addresses), "ka", path, poisonBody)
+		d.send(i%len(d.frontend), "ka", path, poisonBody)
 		time.Sleep(50 * time.Millisecond)
 	}
 }
@@ -56,8 +56,8 @@
 	d.t.Helper()
 	time.Sleep(time.Second)
 	before := d.runCount(poisonBody)
-	for router := range d.addresses {
-		got := d.send(router, "ka", path, poisonBody)
+	for frontend := range d.frontend {
+		got := d.send(frontend, "ka", path, poisonBody)
 		assert.Equal(d.t, got.status, http.StatusBadGateway)
 		assert.Assert(d.t, got.header.Get("Retry-After") != "")
 		assert.Assert(d.t, got.took < 500*time.Millisecond, "the answer took %v", got.took)
@@ -75,7 +75,7 @@
 	d.crashEngines("/chat/", 3)
 	d.assertBlocked("/chat/")
 	d.restartNodes()
-	d.addRouter(len(d.addresses), d.config[0].Seeds)
+	d.addRouter(len(d.frontend), d.config[0].Seeds)
 	d.awaitReady()
 	d.assertBlocked("/chat/")
 }
--- a/internal/edge/pushback_test.go
+++ b/internal/edge/pushback_test.go
@@ -72,10 +72,10 @@
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	statuses := map[int]int{}
-	for worker := range 3 * len(d.addresses) {
+	for worker := range 3 * len(d.frontend) {
 		group.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				got := d.send(worker%len(d.addresses), "ka", path, fmt.Sprintf("load %d of %d", n, worker))
+				got := d.send(worker%len(d.frontend), "ka", path, fmt.Sprintf("load %d of %d", n, worker))
 				mu.Lock()
 				statuses[got.status]++
 				mu.Unlock()
@@ -134,8 +134,8 @@
 			assert.Equal(t, len(statuses), 1, "%v", statuses)
 			assert.Assert(t, statuses[http.StatusOK] > 0)
 			for _, h := range leaving {
-				arrived := h.current.arrivals
-				assert.Assert(t, len(arrived) == 0 || arrived[len(arrived)-1].Before(last), "%s got a request two seconds after it began to drain", h.current.id)
+				arrivals := h.current.arrivals
+				assert.Assert(t, len(arrivals) == 0 || arrivals[len(arrivals)-1].Before(last), "%s got a request two seconds after it began to drain", h.current.id)
 			}
 			assert.Assert(t, (<-long).complete)
 		})
--- a/internal/edge/ratelimit_test.go
+++ b/internal/edge/ratelimit_test.go
@@ -37,8 +37,8 @@
 	}
 	now := time.Now()
 	e.limitedArrivals = append(e.limitedArrivals, arrival{now, router})
-	if _, sent := e.limitSentAt[router]; !sent {
-		e.limitSentAt[router] = now
+	if _, limitSent := e.limitSent[router]; !limitSent {
+		e.limitSent[router] = now
 	}
 	w.Header().Set(names.Limit, e.host.limit)
 }
@@ -55,20 +55,20 @@
 // maxInWindow returns the most requests that an engine got in any window from routers that had
 // its limit, which it set at limitedAt.
 func (e *engine) maxInWindow(limitedAt time.Time) int {
-	most := 0
+	maxInWindow := 0
 	for i, last := range e.limitedArrivals {
 		if last.at.Before(limitedAt.Add(limitGrace)) {
 			continue
 		}
 		count := 0
 		for _, a := range e.limitedArrivals[:i+1] {
-			if a.at.After(last.at.Add(-limitWindow)) && a.at.After(e.limitSentAt[a.router].Add(inFlightTime)) {
+			if a.at.After(last.at.Add(-limitWindow)) && a.at.After(e.limitSent[a.router].Add(inFlightTime)) {
 				count++
 			}
 		}
-		most = max(most, count)
+		maxInWindow = max(maxInWindow, count)
 	}
-	return most
+	return maxInWindow
 }
 
 // Back ends that name a limit must get no more than that from all routers together.
@@ -92,7 +92,7 @@
 			defer d.mu.Unlock()
 			for _, h := range limited {
 				e := h.current
-				assert.Assert(t, len(e.limitSentAt) > 0, "%s got no request", e.id)
+				assert.Assert(t, len(e.limitSent) > 0, "%s got no request", e.id)
 				allowed := int(1.5*rate*limitWindow.Seconds()) + limitSlack
 				assert.Assert(t, e.maxInWindow(begun) <= allowed, "%s got %d in %v, allowed %d", e.id, e.maxInWindow(begun), limitWindow, allowed)
 				// A limited back end must still get most of its rate.
--- a/internal/edge/restart_test.go
+++ b/internal/edge/restart_test.go
@@ -68,10 +68,10 @@
 // awaitServed waits until each router has served five requests in a row.
 func (d *deployment) awaitServed(body string) {
 	d.t.Helper()
-	for router := range d.addresses {
+	for frontend := range d.frontend {
 		row := 0
 		poll.WaitOn(d.t, func(poll.LogT) poll.Result {
-			got := d.send(router, "ka", "/chat/", body)
+			got := d.send(frontend, "ka", "/chat/", body)
 			if row++; got.status != http.StatusOK || !got.complete {
 				row = 0
 			}
--- a/internal/follower/claim.go
+++ b/internal/follower/claim.go
@@ -22,13 +22,13 @@
 	if leader == nil {
 		return nil, placeBackoff, 0
 	}
-	claim := &coordapi.Claim{Router: f.name, Number: f.placements.number.Add(1), Backend: id, Pool: q.Pool, Claimant: q.Claimant, Reports: f.takeReports()}
+	call := &coordapi.Claim{Router: f.name, Number: f.placements.number.Add(1), Backend: id, Pool: q.Pool, Claimant: q.Claimant, Reports: f.pendingReports()}
 	requested := clock.Now()
-	reply, err := f.callLeader(ctx, *leader, coordapi.Request{Claim: claim})
+	reply, err := f.call(ctx, *leader, coordapi.Request{Claim: call})
 	if err != nil || reply.Claimed == nil {
 		// The permit may have been granted, and the reports may be lost.
-		f.requeue(&claim.Reports)
-		f.config.Limits.ReleaseNumbers(claim.Number)
+		f.requeueReports(&call.Reports)
+		f.config.Limits.ReleaseNumbers(call.Number)
 		f.backOff(ctx, err)
 		return nil, placeBackoff, 0
 	}
@@ -36,7 +36,7 @@
 	case reply.Claimed.Unlimited:
 		return ratelimit.Unlimited(id), 0, 0
 	case reply.Claimed.Permit > 0:
-		return ratelimit.Granted(id, claim.Number, requested, reply.Claimed.Permit), 0, 0
+		return ratelimit.Granted(id, call.Number, requested, reply.Claimed.Permit), 0, 0
 	}
 	return nil, reply.Claimed.Wait, reply.Claimed.RetryAfter
 }
--- a/internal/follower/evidence.go
+++ b/internal/follower/evidence.go
@@ -34,8 +34,8 @@
 	mu       sync.Mutex
 	attempts []failedAttempt
 	answered map[poison.Digest]struct{}
-	// leadership is the one that is followed.
-	leadership string
+	// leader is the leadership that is followed.
+	leader string
 }
 
 // failedAttempt is a failed attempt with the leadership it was reported to.
@@ -71,7 +71,7 @@
 	leadership := token.Leadership()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leadership = leadership
+	e.leader = leadership
 	if len(e.attempts) > 0 && e.attempts[len(e.attempts)-1].reportedTo != leadership {
 		e.wake()
 	}
@@ -96,8 +96,8 @@
 	}
 }
 
-// addAnswered records that a request got a complete answer, if it is a suspect.
-func (e *evidence) addAnswered(d poison.Digest) {
+// clear records that a request got a complete answer, if it is a suspect.
+func (e *evidence) clear(d poison.Digest) {
 	if _, suspected := (*e.suspects.Load())[d]; !suspected {
 		return
 	}
@@ -118,10 +118,10 @@
 	}
 	for i := range e.attempts {
 		s := &e.attempts[i]
-		if s.reportedTo == e.leadership {
+		if s.reportedTo == e.leader {
 			continue
 		}
-		s.reportedTo = e.leadership
+		s.reportedTo = e.leader
 		if !s.Down && now-s.at > unsureRetention {
 			continue
 		}
@@ -161,4 +161,4 @@
 func (f *Follower) RecordFailure(attempt poison.FailedAttempt) { f.evidence.add(f.now(), attempt) }
 
 // RecordSuccess records that a request got a complete answer.
-func (f *Follower) RecordSuccess(d poison.Digest) { f.evidence.addAnswered(d) }
+func (f *Follower) RecordSuccess(d poison.Digest) { f.evidence.clear(d) }
--- a/internal/follower/evidence_test.go
+++ b/internal/follower/evidence_test.go
@@ -18,7 +18,7 @@
 	return e
 }
 
-func (e *evidence) takeFailed(now time.Duration) []poison.FailedAttempt {
+func (e *evidence) failed(now time.Duration) []poison.FailedAttempt {
 	var reports coordapi.Reports
 	e.take(now, &reports)
 	return reports.Endings
@@ -29,17 +29,17 @@
 func TestFailedAttemptsAreReportedToEachLeader(t *testing.T) {
 	e := newEvidence()
 	e.add(time.Second, poison.FailedAttempt{Backend: "a", Request: 7, Down: true})
-	assert.Equal(t, len(e.takeFailed(time.Second)), 0, "no leader yet")
+	assert.Equal(t, len(e.failed(time.Second)), 0, "no leader yet")
 	e.follow("first-1", nil)
-	assert.DeepEqual(t, e.takeFailed(2*time.Second), []poison.FailedAttempt{{Backend: "a", Request: 7, Down: true, Age: time.Second}})
+	assert.DeepEqual(t, e.failed(2*time.Second), []poison.FailedAttempt{{Backend: "a", Request: 7, Down: true, Age: time.Second}})
 	e.follow("first-2", nil)
-	assert.Equal(t, len(e.takeFailed(3*time.Second)), 0)
+	assert.Equal(t, len(e.failed(3*time.Second)), 0)
 	e.requeue(&coordapi.Reports{Endings: []poison.FailedAttempt{{Backend: "a", Request: 7}}})
-	assert.Equal(t, len(e.takeFailed(3*time.Second)), 1)
+	assert.Equal(t, len(e.failed(3*time.Second)), 1)
 	e.follow("second-1", nil)
-	assert.DeepEqual(t, e.takeFailed(5*time.Second), []poison.FailedAttempt{{Backend: "a", Request: 7, Down: true, Age: 4 * time.Second}})
+	assert.DeepEqual(t, e.failed(5*time.Second), []poison.FailedAttempt{{Backend: "a", Request: 7, Down: true, Age: 4 * time.Second}})
 	e.follow("third-1", nil)
-	assert.Equal(t, len(e.takeFailed(2*time.Second+poison.EvidenceTTL)), 0, "expired")
+	assert.Equal(t, len(e.failed(2*time.Second+poison.EvidenceTTL)), 0, "expired")
 }
 
 // A later leader cannot determine whether a back end survived that still listened.
@@ -47,17 +47,17 @@
 	e := newEvidence()
 	e.follow("first-1", nil)
 	e.add(time.Second, poison.FailedAttempt{Backend: "a", Request: 7})
-	assert.Equal(t, len(e.takeFailed(time.Second)), 1)
+	assert.Equal(t, len(e.failed(time.Second)), 1)
 	e.follow("second-1", nil)
-	assert.Equal(t, len(e.takeFailed(2*time.Second+unsureRetention)), 0)
+	assert.Equal(t, len(e.failed(2*time.Second+unsureRetention)), 0)
 }
 
 func TestAnsweredSuspectsAreReported(t *testing.T) {
 	e := newEvidence()
 	e.follow("first-1", []poison.Digest{7})
-	e.addAnswered(8)
-	e.addAnswered(7)
-	e.addAnswered(7)
+	e.clear(8)
+	e.clear(7)
+	e.clear(7)
 	var reports coordapi.Reports
 	e.take(0, &reports)
 	assert.DeepEqual(t, reports.Answered, []poison.Digest{7})
@@ -73,7 +73,7 @@
 	for i := range 5 * maxEvidence {
 		e.add(time.Duration(i), poison.FailedAttempt{Backend: fmt.Sprint(i), Request: 7})
 	}
-	failed := e.takeFailed(time.Second)
+	failed := e.failed(time.Second)
 	assert.Assert(t, len(failed) <= maxEvidence)
 	assert.Equal(t, failed[len(failed)-1].Backend, fmt.Sprint(5*maxEvidence-1))
 }
--- a/internal/follower/place.go
+++ b/internal/follower/place.go
@@ -69,17 +69,17 @@
 	if leader == nil {
 		return choice, false, false
 	}
-	request := placer.NewRequest(q)
-	request.Router, request.Zone, request.Number = f.name, f.config.Zone, f.placements.number.Add(1)
-	request.Tried = append(slices.Clone(request.Tried), f.config.Pushbacks.Unavailable(q.Pool)...)
-	request.Reports = f.takeReports()
+	call := placer.NewRequest(q)
+	call.Router, call.Zone, call.Number = f.name, f.config.Zone, f.placements.number.Add(1)
+	call.Tried = append(slices.Clone(call.Tried), f.config.Pushbacks.Unavailable(q.Pool)...)
+	call.Reports = f.pendingReports()
 	requested := clock.Now()
-	reply, err := f.callLeader(ctx, *leader, coordapi.Request{Place: request})
+	reply, err := f.call(ctx, *leader, coordapi.Request{Place: call})
 	if err != nil || reply.Placed == nil {
 		// The request may have been placed, and the reports may be lost.
-		f.requeue(&request.Reports)
-		f.placements.add(coordapi.Reports{Ended: []uint64{request.Number}})
-		f.config.Limits.ReleaseNumbers(request.Number)
+		f.requeueReports(&call.Reports)
+		f.placements.add(coordapi.Reports{Ended: []uint64{call.Number}})
+		f.config.Limits.ReleaseNumbers(call.Number)
 		if ctx.Err() != nil {
 			// The caller has left; the leader may be fine.
 			return choice, false, false
@@ -96,36 +96,36 @@
 	if f.placements.standalone.Swap(false) {
 		f.config.Logger.Info("leader places requests again", "part", "follower", "address", *leader)
 	}
-	choice, found = placer.Choice(request, reply.Placed)
+	choice, found = placer.Choice(call, reply.Placed)
 	if reply.Placed.Permit > 0 {
-		choice.Permit = ratelimit.Granted(coordapi.BackendID(choice.ID), request.Number, requested, reply.Placed.Permit)
+		choice.Permit = ratelimit.Granted(coordapi.BackendID(choice.ID), call.Number, requested, reply.Placed.Permit)
 	}
 	return choice, found, true
 }
 
-// callLeader sends a request to the leader that a caller waits for.
-func (f *Follower) callLeader(ctx context.Context, leader string, request coordapi.Request) (reply coordapi.Reply, err error) {
+// call sends a request to the leader that a caller waits for.
+func (f *Follower) call(ctx context.Context, leader string, request coordapi.Request) (reply coordapi.Reply, err error) {
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
 	err = f.config.Peers.Call(ctx, leader, coordapi.KindCall, request, &reply)
 	return reply, err
 }
 
-// takeReports returns what has not been reported to the leader. Troubles are lost with a failed
-// report, except for draining, since they are out of date by then.
-func (f *Follower) takeReports() coordapi.Reports {
-	reports := f.placements.take()
-	reports.Troubles = slices.Concat(reports.Troubles, f.config.Pool.Troubles(), f.config.Pushbacks.TakeUnreported())
+// pendingReports returns what has not been reported to the leader. Troubles are lost with a
+// failed report, except for draining, since they are out of date by then.
+func (f *Follower) pendingReports() coordapi.Reports {
+	pendingReports := f.placements.take()
+	pendingReports.Troubles = slices.Concat(pendingReports.Troubles, f.config.Pool.Troubles(), f.config.Pushbacks.TakeUnreported())
 	if f.config.Quota != nil {
-		reports.Spent = append(reports.Spent, f.config.Quota.Spent()...)
+		pendingReports.Spent = append(pendingReports.Spent, f.config.Quota.Spent()...)
 	}
-	reports.Limits, reports.Unused = f.config.Limits.TakeUnreported(), f.config.Limits.Unused()
-	f.evidence.take(f.now(), &reports)
-	return reports
+	pendingReports.Limits, pendingReports.Unused = f.config.Limits.TakeUnreported(), f.config.Limits.Unused()
+	f.evidence.take(f.now(), &pendingReports)
+	return pendingReports
 }
 
-// requeue keeps reports that did not arrive for the next one.
-func (f *Follower) requeue(reports *coordapi.Reports) {
+// requeueReports keeps reports that did not arrive for the next one.
+func (f *Follower) requeueReports(reports *coordapi.Reports) {
 	f.placements.add(*reports)
 	f.config.Limits.Requeue(reports.Limits)
 	f.config.Limits.ReleaseNumbers(reports.Unused...)
--- a/internal/follower/pushback_test.go
+++ b/internal/follower/pushback_test.go
@@ -54,21 +54,21 @@
 	_, _, answered := f.Place(t.Context(), &backends.Query{Pool: "llm"})
 	assert.Assert(t, !answered)
 	drains := []coordapi.Trouble{{ID: "drains", Kind: coordapi.Draining}}
-	assert.DeepEqual(t, f.takeReports().Troubles, drains)
-	assert.Equal(t, len(f.takeReports().Troubles), 0)
+	assert.DeepEqual(t, f.pendingReports().Troubles, drains)
+	assert.Equal(t, len(f.pendingReports().Troubles), 0)
 	f.config.Pushbacks.ReportAgain()
-	assert.DeepEqual(t, f.takeReports().Troubles, drains)
+	assert.DeepEqual(t, f.pendingReports().Troubles, drains)
 }
 
 func TestDrainingIsReportedToNewLeadership(t *testing.T) {
 	s := newFakeLeader(t)
 	f := followPushbacks(t, s)
-	f.takeReports()
+	f.pendingReports()
 	v := view(4)
 	v.View.Leader = coordapi.NewLeaderToken("another", 1)
 	assert.Assert(t, f.applyView(f.now(), v.View))
-	assert.Equal(t, len(f.takeReports().Troubles), 1)
+	assert.Equal(t, len(f.pendingReports().Troubles), 1)
 	v.View.Leader = coordapi.NewLeaderToken("another", 2)
 	assert.Assert(t, f.applyView(f.now(), v.View))
-	assert.Equal(t, len(f.takeReports().Troubles), 0)
+	assert.Equal(t, len(f.pendingReports().Troubles), 0)
 }
--- a/internal/follower/report.go
+++ b/internal/follower/report.go
@@ -38,7 +38,7 @@
 			continue
 		}
 		update := &coordapi.Update{Router: f.name, Saved: f.config.Saved.TakeNew(), Loads: f.config.Pool.OwnLoads(), Refused: f.config.Pool.Refused(),
-			Reports: f.takeReports()}
+			Reports: f.pendingReports()}
 		empty := update.Empty() && len(update.Saved) == 0 && len(update.Loads) == 0 && update.Refused == 0
 		if empty && idle {
 			continue
@@ -49,7 +49,7 @@
 		err := f.config.Peers.Call(call, *leader, coordapi.KindCall, coordapi.Request{Update: update}, &reply)
 		if err != nil || reply.NotLeader {
 			// Reports must arrive; everything else is sent anew with each update.
-			f.requeue(&update.Reports)
+			f.requeueReports(&update.Reports)
 		}
 		cancel()
 	}
--- a/internal/follower/retry.go
+++ b/internal/follower/retry.go
@@ -14,7 +14,7 @@
 	if leader == nil {
 		return false, false
 	}
-	reply, err := f.callLeader(ctx, *leader, coordapi.Request{Repeat: &coordapi.Repeat{Pool: pool, Burst: burst, Window: window}})
+	reply, err := f.call(ctx, *leader, coordapi.Request{Repeat: &coordapi.Repeat{Pool: pool, Burst: burst, Window: window}})
 	if err != nil || reply.Repeated == nil {
 		f.backOff(ctx, err)
 		return false, false
--- a/internal/gateway/application.go
+++ b/internal/gateway/application.go
@@ -71,7 +71,7 @@
 
 // application serves the application routes of the bundle.
 func (g *Gateway) application(c echo.Context) error {
-	config, err := g.servingConfig()
+	config, err := g.authority()
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/completions.go
+++ b/internal/gateway/completions.go
@@ -34,7 +34,7 @@
 
 // completions serves both completion APIs.
 func (g *Gateway) completions(c echo.Context) error {
-	config, err := g.servingConfig()
+	config, err := g.authority()
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -98,14 +98,14 @@
 
 // ready serves the readiness check.
 func (g *Gateway) ready(c echo.Context) error {
-	if _, err := g.servingConfig(); err != nil {
+	if _, err := g.authority(); err != nil {
 		return err
 	}
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// servingConfig returns the bundle to serve by, or an error if the router takes no requests.
-func (g *Gateway) servingConfig() (*board.Config, error) {
+// authority returns the bundle to serve by, or an error if the router takes no requests.
+func (g *Gateway) authority() (*board.Config, error) {
 	if draining := g.config.Board.Draining.Load(); draining != nil && *draining {
 		return nil, notRun(http.StatusServiceUnavailable, "this router is stopping", time.Second)
 	}
@@ -129,7 +129,7 @@
 }
 
 func (g *Gateway) models(c echo.Context) error {
-	config, err := g.servingConfig()
+	config, err := g.authority()
 	if err != nil {
 		return err
 	}
@@ -141,7 +141,7 @@
 }
 
 func (g *Gateway) model(c echo.Context) error {
-	config, err := g.servingConfig()
+	config, err := g.authority()
 	if err != nil {
 		return err
 	}
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -153,7 +153,7 @@
 		return 0, true
 	}
 	a.refused.Add(now, averagingTime, float64(amount))
-	return a.retryAfter(now, amount), false
+	return a.scheduleRetry(now, amount), false
 }
 
 // Charge counts an amount that was admitted elsewhere. A negative one returns an admitted amount
@@ -215,9 +215,9 @@
 	a.at = now
 }
 
-// retryAfter returns the wait of a refused caller. Refused callers are spaced by the time that
-// the rate takes to allow their amounts.
-func (a *account) retryAfter(now time.Duration, amount Amount) time.Duration {
+// scheduleRetry returns the wait of a refused caller. Refused callers are spaced by the time
+// that the rate takes to allow their amounts.
+func (a *account) scheduleRetry(now time.Duration, amount Amount) time.Duration {
 	wait := func(amount Amount) time.Duration {
 		return time.Duration(min(float64(amount/a.limit.Rate), maxRetryAfter.Seconds()) * float64(time.Second))
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -243,23 +243,23 @@
 
 // greedy returns what a tenant gets within a window that takes all it can at each moment, from a
 // full bucket and over changes of the leader.
-func greedy(limit Limit, changes ...time.Duration) (sum, part Amount) {
+func greedy(limit Limit, changes ...time.Duration) (sum, tolerancePart Amount) {
 	limiter := NewLimiter(tolerance)
 	limiter.SetLimits(-100*time.Second, map[string]Limit{"a": limit})
-	part = limiter.tolerancePart(limit)
+	tolerancePart = limiter.tolerancePart(limit)
 	for now := time.Duration(0); now < tolerance.Window; now += 10 * time.Millisecond {
 		if slices.Contains(changes, now) {
 			limiter = NewLimiter(tolerance)
 			limiter.SetLimits(now, map[string]Limit{"a": limit})
 		}
 		for {
-			if _, admitted := limiter.Take(now, "a", part); !admitted {
+			if _, admitted := limiter.Take(now, "a", tolerancePart); !admitted {
 				break
 			}
-			sum += part
+			sum += tolerancePart
 		}
 	}
-	return sum, part
+	return sum, tolerancePart
 }
 
 // Two changes of the leader at any times within a window keep to the tolerance, along with the
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -52,12 +52,12 @@
 	mu         sync.Mutex
 	leading    bool
 	leaseUntil time.Duration
-	buckets    *quota.Limiter
+	quota      *quota.Limiter
 	accounts   map[coordapi.BackendID]*account
 	// pools holds the limited back ends of each pool in sum.
 	pools map[string]*pool
-	// grants holds the permits that may still be released.
-	grants  map[grantKey]grant
+	// issued holds the permits that may still be released.
+	issued  map[grantKey]grant
 	sweptAt time.Duration
 	// changes is the number that Limited returns.
 	changes  int
@@ -68,14 +68,14 @@
 
 // account tracks one start of a back end.
 type account struct {
-	pool    string
-	current observation
-	lines   bounded.LineLimiter
+	pool        string
+	observation observation
+	lines       bounded.LineLimiter
 	// asked averages the requests by urgency, granted the permits by tenant.
 	asked   map[int]*decay.Sum
 	granted map[string]*decay.Sum
-	// grants and denials average the back end's verdicts.
-	grants, denials decay.Sum
+	// grants and denied average the back end's verdicts.
+	grants, denied decay.Sum
 }
 
 // pool sums up the limited back ends of a pool: their number and their total rate.
@@ -104,8 +104,8 @@
 }
 
 func (l *Limiter) reset() {
-	l.buckets = quota.NewLimiter(tolerance)
-	l.accounts, l.pools, l.grants = map[coordapi.BackendID]*account{}, map[string]*pool{}, map[grantKey]grant{}
+	l.quota = quota.NewLimiter(tolerance)
+	l.accounts, l.pools, l.issued = map[coordapi.BackendID]*account{}, map[string]*pool{}, map[grantKey]grant{}
 	l.leaseUntil = 0
 	l.changes++
 }
@@ -154,10 +154,10 @@
 		a = &account{pool: report.Pool, asked: map[int]*decay.Sum{}, granted: map[string]*decay.Sum{}}
 		l.accounts[report.ID] = a
 	} else {
-		latest = latest.merge(a.current, reportSkew)
+		latest = latest.merge(a.observation, reportSkew)
 	}
-	before := a.current
-	a.current = latest
+	before := a.observation
+	a.observation = latest
 	if latest.equal(before) {
 		return false
 	}
@@ -166,9 +166,9 @@
 	}
 	l.updatePool(a.pool, before, latest)
 	if latest.limited {
-		l.buckets.Limit(now, string(report.ID), quota.Limit{Rate: quota.Amount(latest.grantRate())})
+		l.quota.Limit(now, string(report.ID), quota.Limit{Rate: quota.Amount(latest.granted())})
 	} else {
-		l.buckets.Forget(string(report.ID))
+		l.quota.Forget(string(report.ID))
 	}
 	if !a.lines.Allow(now, maxLogLines) {
 		return true
@@ -186,11 +186,11 @@
 		l.pools[poolName] = p
 	}
 	if before.limited {
-		p.rate -= before.grantRate()
+		p.rate -= before.granted()
 		p.limited--
 	}
 	if after.limited {
-		p.rate += after.grantRate()
+		p.rate += after.granted()
 		p.limited++
 	}
 }
@@ -223,7 +223,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[r.Backend]
-	if a == nil || !a.current.limited {
+	if a == nil || !a.observation.limited {
 		return Verdict{Unlimited: true}
 	}
 	if !l.leading || now >= l.leaseUntil {
@@ -232,23 +232,23 @@
 	}
 	a.countRequest(now, r.Claimant.Urgency)
 	name := string(r.Backend)
-	if a.yields(now, r.Claimant) && l.buckets.Wait(now, name, l.reserve(name)) > 0 {
-		return l.deny(now, a, l.buckets.Wait(now, name, 0))
+	if a.yields(now, r.Claimant) && l.quota.Wait(now, name, l.reserve(name)) > 0 {
+		return l.deny(now, a, l.quota.Wait(now, name, 0))
 	}
-	if _, admitted := l.buckets.Take(now, name, 1); !admitted {
-		return l.deny(now, a, max(l.buckets.Wait(now, name, 0), time.Millisecond))
+	if _, admitted := l.quota.Take(now, name, 1); !admitted {
+		return l.deny(now, a, max(l.quota.Wait(now, name, 0), time.Millisecond))
 	}
-	a.countGrant(now, r.Claimant.Tenant)
+	a.issued(now, r.Claimant.Tenant)
 	a.grants.Add(now, averagingTime, 1)
 	l.sweep(now)
-	l.grants[grantKey{r.Router, r.Number}] = grant{r.Backend, now}
+	l.issued[grantKey{r.Router, r.Number}] = grant{r.Backend, now}
 	l.granted++
 	return Verdict{Granted: true}
 }
 
 func (l *Limiter) deny(now time.Duration, a *account, wait time.Duration) Verdict {
 	l.denied++
-	a.denials.Add(now, averagingTime, 1)
+	a.denied.Add(now, averagingTime, 1)
 	return Verdict{Wait: wait}
 }
 
@@ -258,11 +258,11 @@
 	defer l.mu.Unlock()
 	var out []coordapi.BackendLimit
 	for id, a := range l.accounts {
-		if !a.current.limited {
+		if !a.observation.limited {
 			continue
 		}
-		out = append(out, coordapi.BackendLimit{ID: id, Pool: a.pool, Rate: float64(a.current.rate), HeardAgo: now - a.current.received,
-			Granted: a.grants.Value(now, averagingTime) / averagingTime.Seconds(), Denied: a.denials.Value(now, averagingTime) / averagingTime.Seconds()})
+		out = append(out, coordapi.BackendLimit{ID: id, Pool: a.pool, Rate: float64(a.observation.rate), HeardAgo: now - a.observation.received,
+			Granted: a.grants.Value(now, averagingTime) / averagingTime.Seconds(), Denied: a.denied.Value(now, averagingTime) / averagingTime.Seconds()})
 	}
 	slices.SortFunc(out, func(x, y coordapi.BackendLimit) int { return cmp.Compare(x.ID, y.ID) })
 	return out
@@ -291,12 +291,12 @@
 	defer l.mu.Unlock()
 	for _, number := range numbers {
 		key := grantKey{router, number}
-		g, known := l.grants[key]
+		g, known := l.issued[key]
 		if !known {
 			continue
 		}
-		delete(l.grants, key)
-		l.buckets.Charge(now, string(g.backend), -1)
+		delete(l.issued, key)
+		l.quota.Charge(now, string(g.backend), -1)
 		l.released++
 		backends = append(backends, g.backend)
 	}
@@ -309,9 +309,9 @@
 		return
 	}
 	l.sweptAt = now
-	maps.DeleteFunc(l.grants, func(_ grantKey, g grant) bool { return now-g.at > grantRetention })
+	maps.DeleteFunc(l.issued, func(_ grantKey, g grant) bool { return now-g.at > grantRetention })
 	maps.DeleteFunc(l.accounts, func(_ coordapi.BackendID, a *account) bool {
-		return !a.current.limited && now-a.current.received > endedRetention
+		return !a.observation.limited && now-a.observation.received > endedRetention
 	})
 }
 
@@ -325,8 +325,8 @@
 		if a == nil {
 			continue
 		}
-		l.updatePool(a.pool, a.current, observation{})
-		l.buckets.Forget(name)
+		l.updatePool(a.pool, a.observation, observation{})
+		l.quota.Forget(name)
 		delete(l.accounts, id)
 		l.changes++
 	}
@@ -338,7 +338,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, a := range l.accounts {
-		if a.current.limited {
+		if a.observation.limited {
 			ids = append(ids, id)
 		}
 	}
@@ -365,8 +365,8 @@
 	sumFor(a.asked, urgency).Add(now, averagingTime, 1)
 }
 
-// countGrant counts a permit by its tenant.
-func (a *account) countGrant(now time.Duration, tenant string) {
+// issued counts a permit by its tenant.
+func (a *account) issued(now time.Duration, tenant string) {
 	if len(a.granted) >= maxTenants {
 		clear(a.granted)
 	}
@@ -384,7 +384,7 @@
 
 // reserve is what a request that yields leaves in the bucket: all but one request of its
 // capacity, and one at least.
-func (l *Limiter) reserve(name string) quota.Amount { return max(l.buckets.Capacity(name)-1, 1) }
+func (l *Limiter) reserve(name string) quota.Amount { return max(l.quota.Capacity(name)-1, 1) }
 
 // minRecent is the least average that counts as recent, about two or three times averagingTime
 // after the last request.
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -268,7 +268,7 @@
 		r.Claimant.Tenant = fmt.Sprint(i)
 		l.Take(time.Duration(i)*time.Second, r)
 	}
-	assert.Assert(t, len(l.grants) <= 2*int(grantRetention/time.Second), "%d", len(l.grants))
+	assert.Assert(t, len(l.issued) <= 2*int(grantRetention/time.Second), "%d", len(l.issued))
 	assert.Assert(t, len(l.accounts["0"].granted) <= maxTenants)
 }
 
--- a/internal/ratelimit/observation.go
+++ b/internal/ratelimit/observation.go
@@ -25,8 +25,8 @@
 	return o.limited && (!other.limited || o.rate <= other.rate)
 }
 
-// grantRate is the rate at which permits are granted under the observation.
-func (o observation) grantRate() PerSecond { return max(o.rate, minRate) }
+// granted is the rate at which permits are granted under the observation.
+func (o observation) granted() PerSecond { return max(o.rate, minRate) }
 
 // merge returns the observation that holds once o has been made beside current. Responses
 // overtake each other: o is surely newer only if its request was sent after current was
--- a/internal/ratelimit/observation_test.go
+++ b/internal/ratelimit/observation_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-func observed(sent, heard int, rate PerSecond) observation {
-	return observation{sent: time.Duration(sent), received: time.Duration(heard), limited: rate >= 0, rate: max(rate, 0)}
+func observed(sent, received int, rate PerSecond) observation {
+	return observation{sent: time.Duration(sent), received: time.Duration(received), limited: rate >= 0, rate: max(rate, 0)}
 }
 
 // noLimit stands for an observation without a limit.
--- a/internal/ratelimit/registry.go
+++ b/internal/ratelimit/registry.go
@@ -71,9 +71,9 @@
 
 // backend is the limit of one start of a back end.
 type backend struct {
-	pool    string
-	current observation
-	lines   bounded.LineLimiter
+	pool        string
+	observation observation
+	lines       bounded.LineLimiter
 }
 
 // New returns an empty registry.
@@ -112,15 +112,15 @@
 		b = &backend{pool: from.Pool}
 		r.backends[from.ID] = b
 	} else {
-		latest = latest.merge(b.current, 0)
+		latest = latest.merge(b.observation, 0)
 	}
 	r.update(from, b, latest, response.StatusCode)
 }
 
 // update sets the observation that holds for a back end, and logs a change.
 func (r *Registry) update(from pushback.Backend, b *backend, latest observation, status int) {
-	before := b.current
-	b.current = latest
+	before := b.observation
+	b.observation = latest
 	if latest.equal(before) {
 		return
 	}
@@ -145,13 +145,13 @@
 		return
 	}
 	maps.DeleteFunc(r.backends, func(_ coordapi.BackendID, b *backend) bool {
-		return !b.current.limited && now-b.current.received > endedRetention
+		return !b.observation.limited && now-b.observation.received > endedRetention
 	})
 	if len(r.backends) < maxBackends {
 		return
 	}
 	// TakeUnreported skips the back ends dropped here.
-	bounded.DropOldest(r.backends, maxBackends/4, func(b *backend) time.Duration { return b.current.received })
+	bounded.DropOldest(r.backends, maxBackends/4, func(b *backend) time.Duration { return b.observation.received })
 }
 
 // Limited reports whether requests to a back end need a permit.
@@ -162,7 +162,7 @@
 }
 
 func (r *Registry) limited(id coordapi.BackendID) bool {
-	if b := r.backends[id]; b != nil && b.current.limited {
+	if b := r.backends[id]; b != nil && b.observation.limited {
 		return true
 	}
 	_, is := r.announced[id]
@@ -202,7 +202,7 @@
 // requeueLimit reports a limit to the leader again if the leader's permit says that there is
 // none.
 func (r *Registry) requeueLimit(id coordapi.BackendID, p *Permit) {
-	if b := r.backends[id]; p != nil && p.unlimited() && b != nil && b.current.limited {
+	if b := r.backends[id]; p != nil && p.unlimited() && b != nil && b.observation.limited {
 		r.unreported[id] = struct{}{}
 	}
 }
@@ -272,7 +272,7 @@
 	out := make([]coordapi.LimitWord, 0, len(r.unreported))
 	for id := range r.unreported {
 		if b := r.backends[id]; b != nil {
-			out = append(out, b.current.report(now, id, b.pool))
+			out = append(out, b.observation.report(now, id, b.pool))
 		}
 	}
 	clear(r.unreported)
@@ -288,7 +288,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, b := range r.backends {
-		if b.current.limited {
+		if b.observation.limited {
 			r.unreported[id] = struct{}{}
 		}
 	}
@@ -315,7 +315,7 @@
 	defer r.mu.Unlock()
 	count := len(r.announced)
 	for id, b := range r.backends {
-		if _, is := r.announced[id]; !is && b.current.limited {
+		if _, is := r.announced[id]; !is && b.observation.limited {
 			count++
 		}
 	}
