--- a/cmd/quinceridge/limits.go
+++ b/cmd/quinceridge/limits.go
@@ -63,7 +63,7 @@
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "BACK END\tPOOL\tREQUESTS/S\tGRANTED/S\tDENIED/S\tHEARD")
 	for _, b := range limits.Backends {
-		fmt.Fprintf(table, "%s\t%s\t%g\t%.2f\t%.2f\t%v ago\n", b.ID, b.Pool, b.Rate, b.Granted, b.Denied, b.HeardAgo.Round(time.Millisecond))
+		fmt.Fprintf(table, "%s\t%s\t%g\t%.2f\t%.2f\t%v ago\n", b.ID, b.Pool, b.Rate, b.Granted, b.Denied, b.ObservedAgo.Round(time.Millisecond))
 	}
 	fmt.Fprintln(table, "\nTENANT\tUNITS/S\tBURST\tASKED/S\tREFUSED/S")
 	for _, t := range limits.Tenants {
--- a/cmd/quinceridge/limits_test.go
+++ b/cmd/quinceridge/limits_test.go
@@ -9,7 +9,7 @@
 
 func Example_writeLimits() {
 	_ = writeLimits(os.Stdout, coordapi.LimitsInForce{
-		Backends: []coordapi.BackendLimit{{ID: "engine-7", Pool: "chat", Rate: 1.5, HeardAgo: 300 * time.Millisecond, Granted: 1.4, Denied: 3}},
+		Backends: []coordapi.BackendLimit{{ID: "engine-7", Pool: "chat", Rate: 1.5, ObservedAgo: 300 * time.Millisecond, Granted: 1.4, Denied: 3}},
 		Tenants:  []coordapi.TenantLimit{{Name: "shop", Rate: 1000, Burst: 500, Asked: 1200, Refused: 200}},
 	})
 	// Output:
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -198,7 +198,7 @@
 func (p *Pool) ApplyNotes(notes coordapi.Notes) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	before := p.notes.Silent
+	before := p.notes.Unresponsive
 	p.notes = notes
 	p.cancelExpired(notes.Expired)
 	for _, id := range before {
@@ -206,7 +206,7 @@
 			r.noHeartbeat = false
 		}
 	}
-	for _, id := range notes.Silent {
+	for _, id := range notes.Unresponsive {
 		if r := p.rows[id]; r != nil {
 			p.index.activate(r)
 			r.noHeartbeat = true
--- a/internal/bundle/bundle.go
+++ b/internal/bundle/bundle.go
@@ -101,9 +101,9 @@
 type Route struct {
 	// Path is the call's path after /app, such as /charges.
 	Path string `yaml:"path" json:"path" validate:"required,startswith=/"`
-	// Repeatable says that a second run does no harm. Calls on other routes
+	// Retryable says that a second run does no harm. Calls on other routes
 	// need an Idempotency-Key and run at most once.
-	Repeatable bool `yaml:"repeatable" json:"repeatable,omitempty"`
+	Retryable bool `yaml:"repeatable" json:"repeatable,omitempty"`
 	// Deadline is the longest time that a call may take.
 	Deadline time.Duration `yaml:"deadline" json:"deadline" validate:"required,min=10ms,max=10m"`
 }
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -20,21 +20,21 @@
 func (s *Server) handle(ctx context.Context, kind string, body json.RawMessage) (any, error) {
 	switch kind {
 	case controlapi.KindRaft:
-		return peer.Decoded(body, s.handleRaft)
+		return peer.HandleDecoded(body, s.handleRaft)
 	case controlapi.KindLease:
-		return peer.Decoded(body, func(r controlapi.LeaseRequest) (controlapi.LeaseReply, error) { return s.handleLease(ctx, r) })
+		return peer.HandleDecoded(body, func(r controlapi.LeaseRequest) (controlapi.LeaseReply, error) { return s.handleLease(ctx, r) })
 	case controlapi.KindView:
-		return peer.Decoded(body, func(r controlapi.ViewRequest) (controlapi.ViewReply, error) { return s.inventory.View(r), nil })
+		return peer.HandleDecoded(body, func(r controlapi.ViewRequest) (controlapi.ViewReply, error) { return s.inventory.View(r), nil })
 	case controlapi.KindSubmit:
-		return peer.Decoded(body, func(r controlapi.SubmitRequest) (controlapi.SubmitReply, error) { return s.handleSubmit(ctx, r) })
+		return peer.HandleDecoded(body, func(r controlapi.SubmitRequest) (controlapi.SubmitReply, error) { return s.handleSubmit(ctx, r) })
 	case controlapi.KindStatus:
-		return peer.Decoded(body, func(r controlapi.StatusRequest) (controlapi.StatusReply, error) { return s.handleStatus(ctx, r) })
+		return peer.HandleDecoded(body, func(r controlapi.StatusRequest) (controlapi.StatusReply, error) { return s.handleStatus(ctx, r) })
 	case controlapi.KindChange:
-		return peer.Decoded(body, func(r controlapi.ChangeRequest) (controlapi.Acknowledgement, error) {
+		return peer.HandleDecoded(body, func(r controlapi.ChangeRequest) (controlapi.Acknowledgement, error) {
 			return s.acknowledge(ctx, func(now time.Duration) error { return s.core.Change(now, r.Change) })
 		})
 	case controlapi.KindTransfer:
-		return peer.Decoded(body, func(r controlapi.TransferRequest) (controlapi.Acknowledgement, error) {
+		return peer.HandleDecoded(body, func(r controlapi.TransferRequest) (controlapi.Acknowledgement, error) {
 			return s.acknowledge(ctx, func(time.Duration) error { return s.core.TransferLeadership(r.To) })
 		})
 	}
--- a/internal/coordapi/check.go
+++ b/internal/coordapi/check.go
@@ -15,7 +15,7 @@
 
 // Check finds what makes a heartbeat useless, with its place. Whoever sends it may be no
 // back end at all.
-func (b *Beat) Check() error {
+func (b *Heartbeat) Check() error {
 	row := &b.Backend
 	for field, text := range map[string]string{"id": row.ID, "pool": row.Pool, "zone": row.Zone} {
 		if text == "" || len(text) > maxName {
--- a/internal/coordapi/coordapi.go
+++ b/internal/coordapi/coordapi.go
@@ -31,21 +31,21 @@
 // Request is one call to the leader of the coordinators. Exactly one field is
 // set.
 type Request struct {
-	Find        *Find              `json:"find,omitempty"`
-	Watch       *Watch             `json:"watch,omitempty"`
-	Configure   *state.Configure   `json:"configure,omitempty"`
-	NameWeights *state.NameWeights `json:"name_weights,omitempty"`
-	Read        *Read              `json:"read,omitempty"`
-	Beat        *Beat              `json:"beat,omitempty"`
-	Digest      *Digest            `json:"digest,omitempty"`
-	Leave       *Leave             `json:"leave,omitempty"`
-	Join        *Join              `json:"join,omitempty"`
-	Update      *Update            `json:"tell,omitempty"`
-	Place       *Place             `json:"place,omitempty"`
-	Claim       *Claim             `json:"claim,omitempty"`
-	Repeat      *Repeat            `json:"repeat,omitempty"`
-	ListLimits  *ListLimits        `json:"list_limits,omitempty"`
-	Unblock     *state.Unblock     `json:"unblock,omitempty"`
+	Find            *Find              `json:"find,omitempty"`
+	Watch           *Watch             `json:"watch,omitempty"`
+	Configure       *state.Configure   `json:"configure,omitempty"`
+	NameWeights     *state.NameWeights `json:"name_weights,omitempty"`
+	Read            *Read              `json:"read,omitempty"`
+	Heartbeat       *Heartbeat         `json:"beat,omitempty"`
+	HeartbeatDigest *HeartbeatDigest   `json:"digest,omitempty"`
+	Leave           *Leave             `json:"leave,omitempty"`
+	Join            *Join              `json:"join,omitempty"`
+	Update          *Update            `json:"tell,omitempty"`
+	Place           *Place             `json:"place,omitempty"`
+	Claim           *Claim             `json:"claim,omitempty"`
+	Repeat          *Repeat            `json:"repeat,omitempty"`
+	ListLimits      *ListLimits        `json:"list_limits,omitempty"`
+	Unblock         *state.Unblock     `json:"unblock,omitempty"`
 }
 
 // Reply answers a Request.
@@ -152,8 +152,8 @@
 	// Preferred maps models to the version below which answers lose a part of
 	// their worth.
 	Preferred map[string]int `json:"preferred,omitempty"`
-	// Silent are back ends that sent no heartbeat for a while.
-	Silent []string `json:"silent,omitempty"`
+	// Unresponsive are back ends that sent no heartbeat for a while.
+	Unresponsive []string `json:"silent,omitempty"`
 	// Limited are back ends that take only so many requests a second from all machines: who
 	// sends them one needs a right.
 	Limited []BackendID `json:"limited,omitempty"`
@@ -178,18 +178,18 @@
 // with a lower one is late.
 type Sequence uint64
 
-// Beat is a back end's heartbeat.
-type Beat struct {
+// Heartbeat is a back end's heartbeat.
+type Heartbeat struct {
 	// Backend has the name that the back end gives itself as its ID.
 	Backend  state.Backend `json:"backend"`
 	Sequence Sequence      `json:"sequence"`
 }
 
-// Digest brings the leader the heartbeats that another coordinator answered by
+// HeartbeatDigest brings the leader the heartbeats that another coordinator answered by
 // itself, since they changed nothing.
-type Digest struct {
-	// Heard maps back ends to the sequence of their last heartbeat.
-	Heard map[BackendID]Sequence `json:"heard,omitempty"`
+type HeartbeatDigest struct {
+	// Sequences maps back ends to the sequence of their last heartbeat.
+	Sequences map[BackendID]Sequence `json:"heard,omitempty"`
 }
 
 // Leave says that a back end is gone or about to be: no new work.
--- a/internal/coordapi/fuzz_test.go
+++ b/internal/coordapi/fuzz_test.go
@@ -32,7 +32,7 @@
 
 // A packed part of a view may be cut off, or no packed value at all.
 func FuzzUnpack(f *testing.F) {
-	packed, err := Pack(Whole{})
+	packed, err := Pack(FullView{})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 	f.Add(packed[:len(packed)/2])
 	f.Add([]byte("{}"))
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		var whole Whole
+		var whole FullView
 		_ = Unpack(data, &whole)
 	})
 }
--- a/internal/coordapi/label.go
+++ b/internal/coordapi/label.go
@@ -13,9 +13,9 @@
 		return "claim"
 	case r.Repeat != nil:
 		return "repeat"
-	case r.Beat != nil:
+	case r.Heartbeat != nil:
 		return "beat"
-	case r.Digest != nil:
+	case r.HeartbeatDigest != nil:
 		return "digest"
 	case r.Find != nil:
 		return "find"
--- a/internal/coordapi/limit.go
+++ b/internal/coordapi/limit.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// LimitWord is what an answer has said of how much its back end takes from all machines
+// LimitReport is what an answer has said of how much its back end takes from all machines
 // together.
-type LimitWord struct {
+type LimitReport struct {
 	ID   BackendID `json:"id"`
 	Pool string    `json:"pool,omitempty"`
 	// Limited says that there is a limit, and Rate how many requests a second.
 	Limited bool    `json:"limited,omitempty"`
 	Rate    float64 `json:"rate,omitempty"`
-	// Sent is how long ago the request was written and Heard how long ago the head of its
+	// SentAgo is how long ago the request was written and Heard how long ago the head of its
 	// answer was read: the back end made it in between.
-	Sent  time.Duration `json:"sent"`
-	Heard time.Duration `json:"heard"`
+	SentAgo     time.Duration `json:"sent"`
+	ReceivedAgo time.Duration `json:"heard"`
 }
 
 // Claimant says whose request wants a right.
@@ -80,8 +80,8 @@
 	Pool string    `json:"pool"`
 	// Rate is in requests a second.
 	Rate float64 `json:"rate"`
-	// HeardAgo is how long ago it was heard last.
-	HeardAgo time.Duration `json:"heard_ago"`
+	// ObservedAgo is how long ago it was heard last.
+	ObservedAgo time.Duration `json:"heard_ago"`
 	// Granted and Denied are rights a second, of the last seconds.
 	Granted float64 `json:"granted"`
 	Denied  float64 `json:"denied"`
--- a/internal/coordapi/placement.go
+++ b/internal/coordapi/placement.go
@@ -124,18 +124,18 @@
 	Spent []quota.Spent `json:"spent,omitempty"`
 	// Limits is what back ends have said of how much they take from all machines, and Unused
 	// the numbers of placements and claims whose right nothing was sent with.
-	Limits []LimitWord `json:"limits,omitempty"`
-	Unused []uint64    `json:"unused,omitempty"`
-	// Endings are attempts that ended without a whole answer, and Answered the suspects
+	Limits []LimitReport `json:"limits,omitempty"`
+	Unused []uint64      `json:"unused,omitempty"`
+	// FailedAttempts are attempts that ended without a whole answer, and Answered the suspects
 	// that got one.
-	Endings  []poison.FailedAttempt `json:"endings,omitempty"`
-	Answered []poison.Digest        `json:"answered,omitempty"`
+	FailedAttempts []poison.FailedAttempt `json:"endings,omitempty"`
+	Answered       []poison.Digest        `json:"answered,omitempty"`
 }
 
 // Empty tells whether there is nothing to say.
 func (r *Reports) Empty() bool {
 	return len(r.Begun) == 0 && len(r.Ended) == 0 && len(r.Troubles) == 0 && len(r.Spent) == 0 && len(r.Limits) == 0 && len(r.Unused) == 0 &&
-		len(r.Endings) == 0 && len(r.Answered) == 0
+		len(r.FailedAttempts) == 0 && len(r.Answered) == 0
 }
 
 // Begun is a placement whose first event has come.
--- a/internal/coordapi/whole.go
+++ b/internal/coordapi/whole.go
@@ -6,9 +6,9 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// Whole is all that a router must know of the replicated state. All routers of
+// FullView is all that a router must know of the replicated state. All routers of
 // a deployment ask for it at once when all processes start anew.
-type Whole struct {
+type FullView struct {
 	// Document is the configuration in force, nil before the first.
 	Document json.RawMessage `json:"document,omitempty"`
 	Backends []state.Backend `json:"backends,omitempty"`
--- a/internal/coordinator/backendlimits_test.go
+++ b/internal/coordinator/backendlimits_test.go
@@ -15,12 +15,12 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-func limitWord(id string, rate float64) coordapi.LimitWord {
-	return coordapi.LimitWord{ID: coordapi.BackendID(id), Pool: "llm", Limited: true, Rate: rate}
+func limitWord(id string, rate float64) coordapi.LimitReport {
+	return coordapi.LimitReport{ID: coordapi.BackendID(id), Pool: "llm", Limited: true, Rate: rate}
 }
 
 // claimFor asks the leader for a right, and says what the router heard.
-func (g *group) claimFor(router string, number uint64, id string, words ...coordapi.LimitWord) *coordapi.Claimed {
+func (g *group) claimFor(router string, number uint64, id string, words ...coordapi.LimitReport) *coordapi.Claimed {
 	g.t.Helper()
 	ask := &coordapi.Claim{Router: router, Number: number, Backend: coordapi.BackendID(id), Pool: "llm", Reports: coordapi.Reports{Limits: words}}
 	reply, err := g.servers[g.leader()].Call(context.Background(), coordapi.Request{Claim: ask})
@@ -85,7 +85,7 @@
 	g.call(0, beat("x", 1, false))
 	g.awaitPlaced("x")
 	g.engines.mu.Lock()
-	g.engines.limits = []coordapi.LimitWord{limitWord("x", 1)}
+	g.engines.limits = []coordapi.LimitReport{limitWord("x", 1)}
 	g.engines.mu.Unlock()
 	g.awaitLimited("x")
 	begun := time.Now()
--- a/internal/coordinator/blocking.go
+++ b/internal/coordinator/blocking.go
@@ -64,7 +64,7 @@
 
 // take takes what routers tell of ended attempts. It is safe for concurrent use.
 func (b *blocking) take(now time.Duration, router string, reports *coordapi.Reports) {
-	if len(reports.Endings) == 0 && len(reports.Answered) == 0 {
+	if len(reports.FailedAttempts) == 0 && len(reports.Answered) == 0 {
 		return
 	}
 	b.mu.Lock()
@@ -73,7 +73,7 @@
 		return
 	}
 	b.news = true
-	for _, e := range reports.Endings {
+	for _, e := range reports.FailedAttempts {
 		b.ledger.Record(now, e)
 		b.logger.Info("attempt ended at a back end", "part", "blocking", "request", e.Request.String(), "backend", e.Backend, "router", router,
 			"age_ms", e.Age.Milliseconds(), "lasted_ms", e.Duration.Milliseconds(), "down", e.Down, "silent", e.Silent)
--- a/internal/coordinator/blocking_test.go
+++ b/internal/coordinator/blocking_test.go
@@ -20,7 +20,7 @@
 func endings(request poison.Digest, age time.Duration, backends ...string) coordapi.Request {
 	tell := &coordapi.Update{Router: "r"}
 	for _, id := range backends {
-		tell.Endings = append(tell.Endings, poison.FailedAttempt{Backend: id, Request: request, Down: true, Age: age, Duration: 50 * time.Millisecond})
+		tell.FailedAttempts = append(tell.FailedAttempts, poison.FailedAttempt{Backend: id, Request: request, Down: true, Age: age, Duration: 50 * time.Millisecond})
 	}
 	return coordapi.Request{Update: tell}
 }
@@ -31,7 +31,7 @@
 	if err != nil || reply.View == nil {
 		return false
 	}
-	var whole coordapi.Whole
+	var whole coordapi.FullView
 	assert.NilError(g.t, coordapi.Unpack(reply.View.Packed, &whole))
 	for _, b := range whole.Blocked.Requests {
 		if b.Request == request {
--- a/internal/coordinator/calls.go
+++ b/internal/coordinator/calls.go
@@ -23,9 +23,9 @@
 func (s *Server) handle(ctx context.Context, kind string, body json.RawMessage) (any, error) {
 	switch kind {
 	case coordapi.KindRaft:
-		return peer.Decoded(body, s.handleRaft)
+		return peer.HandleDecoded(body, s.handleRaft)
 	case coordapi.KindCall:
-		return peer.Decoded(body, func(r coordapi.Request) (coordapi.Reply, error) { return s.serve(ctx, r) })
+		return peer.HandleDecoded(body, func(r coordapi.Request) (coordapi.Reply, error) { return s.serve(ctx, r) })
 	}
 	return nil, errors.Wrap(peer.ErrUnknownKind, kind)
 }
@@ -47,7 +47,7 @@
 func (s *Server) Call(ctx context.Context, request coordapi.Request) (coordapi.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	if request.Beat != nil && s.answerHere(ctx, *request.Beat) {
+	if request.Heartbeat != nil && s.answerHere(ctx, *request.Heartbeat) {
 		return coordapi.Reply{}, nil
 	}
 	reply, err := s.serve(ctx, request)
@@ -81,10 +81,10 @@
 		return s.submit(ctx, state.Command{NameWeights: r.NameWeights})
 	case r.Read != nil:
 		return s.read(ctx)
-	case r.Beat != nil:
-		return s.beat(ctx, *r.Beat)
-	case r.Digest != nil:
-		return s.takeDigest(ctx, *r.Digest)
+	case r.Heartbeat != nil:
+		return s.beat(ctx, *r.Heartbeat)
+	case r.HeartbeatDigest != nil:
+		return s.takeDigest(ctx, *r.HeartbeatDigest)
 	case r.Leave != nil:
 		return s.leave(ctx, *r.Leave)
 	case r.Update != nil:
@@ -343,7 +343,7 @@
 	}
 	if v.Leader != w.Leader {
 		v.Notes = s.rollout.notes
-		v.Silent = s.soft.silentOf(d, shard)
+		v.Unresponsive = s.soft.silentOf(d, shard)
 		v.Limited = s.soft.limitedOf(d, shard)
 		v.Suspects = s.blocking.suspects
 	}
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -30,7 +30,7 @@
 	unanswered int
 	// draining is what Draining returns next, and limits what Limits does.
 	draining []coordapi.BackendID
-	limits   []coordapi.LimitWord
+	limits   []coordapi.LimitReport
 	// calls are the orders and reports, with whether a right was there for each.
 	calls []engineCall
 }
@@ -83,7 +83,7 @@
 	return EngineReport{Orders: e.orders, Weights: map[string]int{"m": e.version}}, nil
 }
 
-func (f *fakeEngines) Limits(bool) []coordapi.LimitWord {
+func (f *fakeEngines) Limits(bool) []coordapi.LimitReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := f.limits
@@ -258,7 +258,7 @@
 }
 
 func beat(id string, sequence coordapi.Sequence, draining bool) coordapi.Request {
-	return coordapi.Request{Beat: &coordapi.Beat{Sequence: sequence, Backend: state.Backend{ID: id, Pool: "llm", Address: id,
+	return coordapi.Request{Heartbeat: &coordapi.Heartbeat{Sequence: sequence, Backend: state.Backend{ID: id, Pool: "llm", Address: id,
 		Weights: map[string]int{"m": 1}, Draining: draining}}}
 }
 
--- a/internal/coordinator/digest.go
+++ b/internal/coordinator/digest.go
@@ -31,7 +31,7 @@
 // here.
 func (d *digest) mayAnswer(now time.Duration) bool { return d.begun && now-d.takenAt < digestTrust }
 
-func (d *digest) note(b coordapi.Beat) {
+func (d *digest) note(b coordapi.Heartbeat) {
 	if d.heard == nil {
 		d.heard = map[coordapi.BackendID]coordapi.Sequence{}
 	}
@@ -42,7 +42,7 @@
 // answerHere answers a heartbeat that changes nothing, for all that this node's
 // replica knows. Most are of this kind: the leader of a large deployment then
 // hears of them a few times a second from each node, and not thousands of times.
-func (s *Server) answerHere(ctx context.Context, b coordapi.Beat) bool {
+func (s *Server) answerHere(ctx context.Context, b coordapi.Heartbeat) bool {
 	answered := false
 	s.loop.Do(ctx, func(now time.Duration) {
 		if s.core == nil || s.core.HoldsLease(now) || !s.digest.mayAnswer(now) {
@@ -86,7 +86,7 @@
 	ctx, cancel := context.WithTimeout(ctx, digestTrust)
 	defer cancel()
 	var reply coordapi.Reply
-	err := s.peers.Call(ctx, leader, coordapi.KindCall, coordapi.Request{Digest: &coordapi.Digest{Heard: heard}}, &reply)
+	err := s.peers.Call(ctx, leader, coordapi.KindCall, coordapi.Request{HeartbeatDigest: &coordapi.HeartbeatDigest{Sequences: heard}}, &reply)
 	if err != nil || reply.NotLeader {
 		return
 	}
@@ -94,9 +94,9 @@
 }
 
 // takeDigest notes the heartbeats that another node answered.
-func (s *Server) takeDigest(ctx context.Context, d coordapi.Digest) (coordapi.Reply, error) {
+func (s *Server) takeDigest(ctx context.Context, d coordapi.HeartbeatDigest) (coordapi.Reply, error) {
 	return s.asLeader(ctx, func(now time.Duration) {
-		for id, sequence := range d.Heard {
+		for id, sequence := range d.Sequences {
 			s.soft.heard(now, string(id), sequence)
 		}
 	})
--- a/internal/coordinator/digest_test.go
+++ b/internal/coordinator/digest_test.go
@@ -27,7 +27,7 @@
 	sequence := coordapi.Sequence(1)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		sequence++
-		if !server.answerHere(context.Background(), *beat("x", sequence, false).Beat) {
+		if !server.answerHere(context.Background(), *beat("x", sequence, false).Heartbeat) {
 			return poll.Continue("the leader has not taken a digest of node %d", other)
 		}
 		return poll.Success()
@@ -45,8 +45,8 @@
 	g.call(0, beat("x", 1, false))
 	server := g.servers[(g.leader()+1)%3]
 	server.loop.Do(context.Background(), func(now time.Duration) { server.digest.takenAt, server.digest.begun = now, true })
-	assert.Assert(t, !server.answerHere(context.Background(), *beat("x", 2, true).Beat))
-	assert.Assert(t, !server.answerHere(context.Background(), *beat("unknown", 1, false).Beat))
+	assert.Assert(t, !server.answerHere(context.Background(), *beat("x", 2, true).Heartbeat))
+	assert.Assert(t, !server.answerHere(context.Background(), *beat("unknown", 1, false).Heartbeat))
 }
 
 func TestANodeThatDoesNotReachTheLeaderAnswersNoHeartbeat(t *testing.T) {
--- a/internal/coordinator/enginecalls.go
+++ b/internal/coordinator/enginecalls.go
@@ -73,7 +73,7 @@
 }
 
 // Limits implements Engines.
-func (e *EngineClient) Limits(all bool) []coordapi.LimitWord {
+func (e *EngineClient) Limits(all bool) []coordapi.LimitReport {
 	if all {
 		e.limits.ReportAgain()
 	}
--- a/internal/coordinator/http.go
+++ b/internal/coordinator/http.go
@@ -117,7 +117,7 @@
 
 // heartbeat takes a back end's word in the product's own form.
 func (s *Server) heartbeat(w http.ResponseWriter, r *http.Request) {
-	var beat coordapi.Beat
+	var beat coordapi.Heartbeat
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCall)).Decode(&beat)
 	beat.Backend.ID = r.PathValue("id")
 	if err == nil {
@@ -128,7 +128,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.finish(w, r, coordapi.Request{Beat: &beat})
+	s.finish(w, r, coordapi.Request{Heartbeat: &beat})
 }
 
 // serveCall decodes a body and runs the call that it asks for.
--- a/internal/coordinator/orders.go
+++ b/internal/coordinator/orders.go
@@ -84,7 +84,7 @@
 	Draining() []coordapi.BackendID
 	// Limits returns what engines have said since the last call, in such answers, of how much
 	// they take from all machines, or all of it that holds.
-	Limits(all bool) []coordapi.LimitWord
+	Limits(all bool) []coordapi.LimitReport
 }
 
 // bring takes one engine to a version: it announces the load, gives the order
@@ -117,8 +117,8 @@
 
 // awaitRead waits until the prompts that an engine has been sent are read.
 func (s *Server) awaitRead(ctx context.Context, id string) {
-	periodic.Pause(ctx, announcePause)
-	for limit := s.now() + readLimit; s.now() < limit && ctx.Err() == nil; periodic.Pause(ctx, readEvery) {
+	periodic.Sleep(ctx, announcePause)
+	for limit := s.now() + readLimit; s.now() < limit && ctx.Err() == nil; periodic.Sleep(ctx, readEvery) {
 		unread := 0
 		s.loop.Do(ctx, func(time.Duration) { unread = s.soft.told.unread(id) })
 		if unread == 0 {
@@ -170,7 +170,7 @@
 			return errors.New("this node leads no more, or the engine has started again")
 		}
 		if !s.takeRight(&order.Target) {
-			periodic.Pause(ctx, orderPause)
+			periodic.Sleep(ctx, orderPause)
 			continue
 		}
 		attempt, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -190,13 +190,13 @@
 			return err
 		}
 		if !errors.Is(err, ErrOrderConflict) {
-			periodic.Pause(ctx, orderPause)
+			periodic.Sleep(ctx, orderPause)
 			continue
 		}
 		if held, failure := s.expect(ctx, row, &order); failure == nil && held {
 			return ErrAlreadyLoaded
 		}
-		periodic.Pause(ctx, reportEvery)
+		periodic.Sleep(ctx, reportEvery)
 	}
 	return ctx.Err()
 }
@@ -268,13 +268,13 @@
 
 // awaitLoaded asks the engine until it reports the version.
 func (s *Server) awaitLoaded(ctx context.Context, row state.Backend, model string, version int) error {
-	periodic.Pause(ctx, firstReport)
+	periodic.Sleep(ctx, firstReport)
 	for ctx.Err() == nil {
 		report, err := s.report(ctx, row)
 		if err == nil && report.Weights[model] >= version && !report.Busy {
 			return nil
 		}
-		periodic.Pause(ctx, reportEvery)
+		periodic.Sleep(ctx, reportEvery)
 	}
 	return ctx.Err()
 }
--- a/internal/coordinator/place_test.go
+++ b/internal/coordinator/place_test.go
@@ -84,7 +84,7 @@
 
 func (downEngines) Draining() []coordapi.BackendID { return nil }
 
-func (downEngines) Limits(bool) []coordapi.LimitWord { return nil }
+func (downEngines) Limits(bool) []coordapi.LimitReport { return nil }
 
 // An engine that had crashed kept the place of a load for ten seconds, and was
 // asked thirty times a second.
--- a/internal/coordinator/registry.go
+++ b/internal/coordinator/registry.go
@@ -10,7 +10,7 @@
 
 // beat notes a heartbeat. A heartbeat that changes the row is acknowledged
 // only once the change is durable on a majority.
-func (s *Server) beat(ctx context.Context, b coordapi.Beat) (coordapi.Reply, error) {
+func (s *Server) beat(ctx context.Context, b coordapi.Heartbeat) (coordapi.Reply, error) {
 	var refused error
 	reply, err := s.enrol(ctx, func(now time.Duration) (state.Backend, bool) {
 		b.Backend.Instance = ""
--- a/internal/coordinator/returns.go
+++ b/internal/coordinator/returns.go
@@ -29,7 +29,7 @@
 // for a while: it may only have been cut off, and would stay out for as long as it runs.
 // One that drains, or whose address another has by now, stays out. It returns the ID of its
 // new row.
-func (s *Server) returns(now time.Duration, d *state.Deployment, start state.Start, b *coordapi.Beat) (id string, back bool) {
+func (s *Server) returns(now time.Duration, d *state.Deployment, start state.Start, b *coordapi.Heartbeat) (id string, back bool) {
 	if !d.HasDeparted(start) || b.Backend.Draining || s.soft.left[d.RowID(start)] || s.soft.left[start.Name] || s.hasSuccessor(now, d, start, b.Backend.Address) {
 		delete(s.soft.returning, start)
 		return "", false
--- a/internal/coordinator/returns_test.go
+++ b/internal/coordinator/returns_test.go
@@ -77,10 +77,10 @@
 	assert.Equal(t, g.present(0, "x").ID, "")
 	// Another has its address by now.
 	other := word("y", 100, 1, false, 1)
-	other.Beat.Backend.Address = "x"
+	other.Heartbeat.Backend.Address = "x"
 	g.call(0, other)
 	for n := range coordapi.Sequence(2 * returnBeats) {
-		other.Beat.Sequence++
+		other.Heartbeat.Sequence++
 		g.call(0, other)
 		g.speak(100+n, 1, "x", 100, false)
 	}
--- a/internal/coordinator/rollout.go
+++ b/internal/coordinator/rollout.go
@@ -226,7 +226,7 @@
 		var report EngineReport
 		err := errors.New("not asked")
 		for ctx.Err() == nil && (err != nil || report.Busy) {
-			periodic.Pause(ctx, reportEvery)
+			periodic.Sleep(ctx, reportEvery)
 			report, err = s.report(ctx, row)
 		}
 		s.change(context.WithoutCancel(ctx), row.ID, func(b *state.Backend) {
--- a/internal/coordinator/soft.go
+++ b/internal/coordinator/soft.go
@@ -383,7 +383,7 @@
 	}
 	if token := s.soft.token(); token != s.soft.placedNotes {
 		notes := s.rollout.notes
-		notes.Silent = s.soft.silent
+		notes.Unresponsive = s.soft.silent
 		s.placer.ApplyNotes(notes)
 		s.soft.placedNotes = token
 	}
--- a/internal/coordinator/starts.go
+++ b/internal/coordinator/starts.go
@@ -118,7 +118,7 @@
 
 // answersAs tells whether a heartbeat is of the present start for all that a replica
 // knows, and gives it the ID of that one's row.
-func answersAs(d *state.Deployment, b *coordapi.Beat) bool {
+func answersAs(d *state.Deployment, b *coordapi.Heartbeat) bool {
 	row, known := d.Current(b.Backend.Name())
 	if !known || row.Born != b.Backend.Born {
 		return false
--- a/internal/coordinator/starts_test.go
+++ b/internal/coordinator/starts_test.go
@@ -16,7 +16,7 @@
 
 // word is a heartbeat of one start of a back end.
 func word(name string, born state.UnixMilli, sequence coordapi.Sequence, draining bool, version int) coordapi.Request {
-	return coordapi.Request{Beat: &coordapi.Beat{Sequence: sequence, Backend: state.Backend{ID: name, Born: born, Pool: "llm", Address: name,
+	return coordapi.Request{Heartbeat: &coordapi.Heartbeat{Sequence: sequence, Backend: state.Backend{ID: name, Born: born, Pool: "llm", Address: name,
 		Weights: map[string]int{"m": version}, Draining: draining}}}
 }
 
@@ -240,7 +240,7 @@
 	g.call(0, word("x", 100, 1, false, 1))
 	stray := func(name string, born state.UnixMilli) error {
 		w := word(name, born, 90, true, 1)
-		w.Beat.Backend.Pool, w.Beat.Backend.Address = "later", "x"
+		w.Heartbeat.Backend.Pool, w.Heartbeat.Backend.Address = "later", "x"
 		_, err := g.servers[0].Call(context.Background(), w)
 		return err
 	}
--- a/internal/coordinator/step.go
+++ b/internal/coordinator/step.go
@@ -211,7 +211,7 @@
 	all := t.since(d, 0)
 	mine := &all.shards[v.Shard.Index]
 	if mine.whole == nil {
-		whole := coordapi.Whole{Document: d.Document, Backends: all.rows(v.Shard.Index), Blocked: coordapi.Blocked{Requests: d.Blocked}}
+		whole := coordapi.FullView{Document: d.Document, Backends: all.rows(v.Shard.Index), Blocked: coordapi.Blocked{Requests: d.Blocked}}
 		// Encoding into memory cannot fail.
 		mine.whole, _ = coordapi.Pack(whole)
 	}
--- a/internal/coordinator/step_test.go
+++ b/internal/coordinator/step_test.go
@@ -52,7 +52,7 @@
 		assert.NilError(t, coordapi.Unpack(v.PackedBackends, &rows))
 	}
 	if len(v.Packed) > 0 {
-		var whole coordapi.Whole
+		var whole coordapi.FullView
 		assert.NilError(t, coordapi.Unpack(v.Packed, &whole))
 		rows = whole.Backends
 	}
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -27,8 +27,8 @@
 	OutputTokens   int
 	// Route is set for application calls.
 	Route string
-	// Repeatable says that a second run of an application call does no harm.
-	Repeatable bool
+	// Retryable says that a second run of an application call does no harm.
+	Retryable bool
 }
 
 // Tenant is one customer.
@@ -95,8 +95,8 @@
 			{Name: "order-chat", Class: "shopper", Share: 0.4, Documents: 8, DocumentTokens: 2048, ContextTokens: 1024, QuestionTokens: 200, OutputTokens: 60},
 		},
 		Application: []Kind{
-			{Name: "slot-lookup", Share: 0.7, Route: "/slots", Repeatable: true},
-			{Name: "cart-sync", Share: 0.2, Route: "/carts", Repeatable: true},
+			{Name: "slot-lookup", Share: 0.7, Route: "/slots", Retryable: true},
+			{Name: "cart-sync", Share: 0.2, Route: "/carts", Retryable: true},
 			{Name: "charge", Share: 0.1, Route: "/charges"},
 		},
 		Rate: 8, ApplicationRate: 6, Surge: 3,
@@ -118,7 +118,7 @@
 		},
 		Application: []Kind{
 			{Name: "authorization", Share: 0.6, Route: "/authorizations"},
-			{Name: "settlement", Share: 0.4, Route: "/settlements", Repeatable: true},
+			{Name: "settlement", Share: 0.4, Route: "/settlements", Retryable: true},
 		},
 		Rate: 7, ApplicationRate: 6, Surge: 3,
 	}
--- a/internal/edge/deployment_test.go
+++ b/internal/edge/deployment_test.go
@@ -279,7 +279,7 @@
 		if e.seat.pool == "llm" {
 			row.Weights = map[string]int{"m": 1}
 		}
-		_, _ = e.seat.deployment.node(n).Call(ctx, coordapi.Request{Beat: &coordapi.Beat{Backend: row, Sequence: coordapi.Sequence(n)}})
+		_, _ = e.seat.deployment.node(n).Call(ctx, coordapi.Request{Heartbeat: &coordapi.Heartbeat{Backend: row, Sequence: coordapi.Sequence(n)}})
 		select {
 		case <-ctx.Done():
 		case <-time.After(testBeat):
@@ -294,7 +294,7 @@
 	}
 	w.Header().Set(names.RequestID, r.Header.Get(names.RequestID))
 	if r.Header.Get(names.Instance) != e.id {
-		w.Header().Set(names.InstanceIs, e.id)
+		w.Header().Set(names.ResponseInstance, e.id)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -314,7 +314,7 @@
 		w.Header().Set(names.Draining, "1")
 	}
 	d.mu.Unlock()
-	w.Header().Set(names.Seal, "seal")
+	w.Header().Set(names.Signature, "seal")
 	if strings.HasPrefix(string(body), poisonBody) && r.Header.Get(names.Tenant) == poisonTenant {
 		e.crash(r, string(body))
 		return
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -63,7 +63,7 @@
 	saved, tenants, pushbacks := forward.NewSaved(), quota.NewGate(), pushback.New(headers, logger)
 	limits := ratelimit.New(headers, logger)
 	pool.SetPushbacks(pushbacks)
-	e.follower = follower.New(follower.Config{Name: config.Name, Zone: config.Zone, Seeds: config.Coordinators(), Lease: config.RightLease(),
+	e.follower = follower.New(follower.Config{Name: config.Name, Zone: config.Zone, Seeds: config.Coordinators(), Lease: config.ServingLease(),
 		Decode: decode, Pool: pool, Saved: saved, Quota: tenants, Pushbacks: pushbacks, Limits: limits, Peers: e.peers, Logger: logger})
 	e.handler = forward.New(forward.Config{Headers: headers, Source: e.follower, Placer: e.follower, Claimer: e.follower, SharedBudget: e.follower, Observer: e.follower, Pool: pool, Saved: saved, Quota: tenants,
 		Upstream: upstream.NewPool(headers.RequestID, pushbacks, limits), Pushbacks: pushbacks, Limits: limits, Logger: logger,
--- a/internal/fleet/faults.go
+++ b/internal/fleet/faults.go
@@ -276,7 +276,7 @@
 			for name, route := range f.bundle.Routes {
 				next.Routes[name] = route
 			}
-			next.Routes[fmt.Sprintf("race-%d", n)] = bundle.Route{Path: fmt.Sprintf("/race-%d", n), Repeatable: true, Deadline: time.Second}
+			next.Routes[fmt.Sprintf("race-%d", n)] = bundle.Route{Path: fmt.Sprintf("/race-%d", n), Retryable: true, Deadline: time.Second}
 			path := fmt.Sprintf("%s/race-%d-%d.yaml", f.config.Folder, next.Version, n)
 			if writeYAML(path, &next) != nil {
 				return
--- a/internal/fleet/layout.go
+++ b/internal/fleet/layout.go
@@ -167,7 +167,7 @@
 		b.Tenants[tenant.Name] = bundle.Tenant{KeySHA256: sum(deployment.Key(tenant.Name)), Weight: 1, Class: d.Classes[0].Name}
 	}
 	for _, kind := range d.Application {
-		b.Routes[kind.Name] = bundle.Route{Path: kind.Route, Repeatable: kind.Repeatable, Deadline: 5 * time.Second}
+		b.Routes[kind.Name] = bundle.Route{Path: kind.Route, Retryable: kind.Retryable, Deadline: 5 * time.Second}
 	}
 	for _, kind := range d.Generation {
 		for document := range kind.Documents {
--- a/internal/follower/evidence.go
+++ b/internal/follower/evidence.go
@@ -127,7 +127,7 @@
 		}
 		ended := s.FailedAttempt
 		ended.Age = now - s.at
-		reports.Endings = append(reports.Endings, ended)
+		reports.FailedAttempts = append(reports.FailedAttempts, ended)
 	}
 	for d := range e.answered {
 		reports.Answered = append(reports.Answered, d)
@@ -139,7 +139,7 @@
 func (e *evidence) lost(reports *coordapi.Reports) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, ended := range reports.Endings {
+	for _, ended := range reports.FailedAttempts {
 		for i := range e.seen {
 			if s := &e.seen[i]; s.Backend == ended.Backend && s.Request == ended.Request {
 				s.told = ""
--- a/internal/follower/evidence_test.go
+++ b/internal/follower/evidence_test.go
@@ -21,7 +21,7 @@
 func (e *evidence) told(now time.Duration) []poison.FailedAttempt {
 	var reports coordapi.Reports
 	e.take(now, &reports)
-	return reports.Endings
+	return reports.FailedAttempts
 }
 
 // What one leader was told is told again to the next, with its age then. A word that
@@ -34,7 +34,7 @@
 	assert.DeepEqual(t, e.told(2*time.Second), []poison.FailedAttempt{{Backend: "a", Request: 7, Down: true, Age: time.Second}})
 	e.hear("first-2", nil)
 	assert.Equal(t, len(e.told(3*time.Second)), 0)
-	e.lost(&coordapi.Reports{Endings: []poison.FailedAttempt{{Backend: "a", Request: 7}}})
+	e.lost(&coordapi.Reports{FailedAttempts: []poison.FailedAttempt{{Backend: "a", Request: 7}}})
 	assert.Equal(t, len(e.told(3*time.Second)), 1)
 	e.hear("second-1", nil)
 	assert.DeepEqual(t, e.told(5*time.Second), []poison.FailedAttempt{{Backend: "a", Request: 7, Down: true, Age: 4 * time.Second}})
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -257,7 +257,7 @@
 func (f *Follower) take(sent time.Duration, v *coordapi.View) bool {
 	rows, document, blocked, whole := v.Backends, v.Document, v.Blocked, len(v.Packed) > 0
 	if whole {
-		var unpacked coordapi.Whole
+		var unpacked coordapi.FullView
 		if !f.unpack(v, "view cannot be read", v.Packed, &unpacked) {
 			return false
 		}
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -68,7 +68,7 @@
 		return outcome{verdict: notRun, answer: read, arrived: true, err: errTurnedAway}
 	case answer.StatusCode >= http.StatusInternalServerError:
 		return outcome{verdict: failed, answer: read, arrived: true, err: errAnsweredFailure}
-	case answer.StatusCode < http.StatusMultipleChoices && answer.Header.Get(names.Seal) == "":
+	case answer.StatusCode < http.StatusMultipleChoices && answer.Header.Get(names.Signature) == "":
 		return outcome{verdict: mayHaveRun, arrived: true, err: errNoSeal}
 	case s.begun:
 		return outcome{verdict: mayHaveRun, arrived: true, err: errAnsweredFailure}
@@ -119,7 +119,7 @@
 // stream passes events on as they come. The head leaves with the first event.
 func (s *session) stream(ctx context.Context, answer *upstream.BackendResponse) outcome {
 	reader := bufio.NewReaderSize(answer, streamBuffer)
-	if answer.Header.Get(s.handler.config.Headers.Seal) == "" {
+	if answer.Header.Get(s.handler.config.Headers.Signature) == "" {
 		return outcome{verdict: mayHaveRun, arrived: true, err: errNoSeal}
 	}
 	var event []byte
--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -244,7 +244,7 @@
 	if j.query.Model == "" {
 		return
 	}
-	if version, err := strconv.Atoi(header.Get(h.config.Headers.VersionIs)); err == nil {
+	if version, err := strconv.Atoi(header.Get(h.config.Headers.ResponseVersion)); err == nil {
 		h.config.Pool.VersionObserved(choice.ID, j.query.Model, version)
 	}
 }
@@ -266,7 +266,7 @@
 		h.config.Pool.Busy(now, choice.ID)
 		h.notePushback(now, choice)
 		if answer.StatusCode == http.StatusMisdirectedRequest {
-			other := result.answer.header.Get(h.config.Headers.InstanceIs)
+			other := result.answer.header.Get(h.config.Headers.ResponseInstance)
 			h.config.Pool.Mismatch(choice.ID, j.query.Model, choice.Version, other != "" && other != choice.Name())
 		}
 	default:
--- a/internal/forward/choose.go
+++ b/internal/forward/choose.go
@@ -70,7 +70,7 @@
 			// only then.
 			return choice, false
 		}
-		if periodic.Pause(ctx, max(j.room, waitStep)); ctx.Err() != nil {
+		if periodic.Sleep(ctx, max(j.room, waitStep)); ctx.Err() != nil {
 			return choice, false
 		}
 	}
--- a/internal/forward/evidence_test.go
+++ b/internal/forward/evidence_test.go
@@ -72,7 +72,7 @@
 		assert.Equal(t, got.status, http.StatusBadGateway, path)
 		assert.Equal(t, got.header.Get("Retry-After"), "600.00")
 		assert.Assert(t, got.body != "")
-		assert.Equal(t, got.header.Get(names.Seal), "")
+		assert.Equal(t, got.header.Get(names.Signature), "")
 	}
 	assert.Equal(t, r.ran("x", "y"), 0)
 }
@@ -144,7 +144,7 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+names.RequestID+": "+q.Header.Get(names.RequestID)+"\r\n"+names.Seal+": s\r\n\r\nhalf")
+		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+names.RequestID+": "+q.Header.Get(names.RequestID)+"\r\n"+names.Signature+": s\r\n\r\nhalf")
 		_ = conn.Close()
 	})
 	r.pool.Apply(nil, []string{"x"}, false)
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -99,7 +99,7 @@
 // off for 1.2 s, and their only other try with them.
 func TestARequestWaitsAMomentForTheRightToServe(t *testing.T) {
 	r := newRig(t)
-	r.add("app", "a", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(names.Seal, "s") })
+	r.add("app", "a", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(names.Signature, "s") })
 	r.source.fresh.Store(false)
 	time.AfterFunc(50*time.Millisecond, func() { r.source.fresh.Store(true) })
 	assert.Equal(t, r.ask("GET", "/safe/x", nil).status, http.StatusOK)
@@ -166,7 +166,7 @@
 func TestAnEngineIsChosenByWhoPlacesForAllWhileThatAnswers(t *testing.T) {
 	r := newRig(t)
 	stream := func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(names.Seal, "s")
+		w.Header().Set(names.Signature, "s")
 		_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
 	}
 	r.add("llm", "mine", stream)
@@ -200,7 +200,7 @@
 	r := newRig(t)
 	r.add("app", "other", good)
 	r.add("llm", "open", func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(names.Seal, "s")
+		w.Header().Set(names.Signature, "s")
 		_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
 	})
 	r.add("llm", "leaving", func(http.ResponseWriter, *http.Request) { t.Error("the request was sent") })
@@ -273,7 +273,7 @@
 }
 
 func good(w http.ResponseWriter, _ *http.Request) {
-	w.Header().Set(names.Seal, "seal")
+	w.Header().Set(names.Signature, "seal")
 	_, _ = io.WriteString(w, "fine")
 }
 
@@ -312,7 +312,7 @@
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, 200)
 	assert.Equal(t, got.body, "fine")
-	assert.Equal(t, got.header.Get(names.Seal), "seal")
+	assert.Equal(t, got.header.Get(names.Signature), "seal")
 }
 
 func TestWhoMayNotAskIsRefusedAndNothingRuns(t *testing.T) {
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -129,7 +129,7 @@
 	if config.Observer == nil {
 		h.config.Observer = alone{}
 	}
-	for _, name := range slices.Concat(hopHeaders, config.Headers.Owned(), config.Headers.Forbidden) {
+	for _, name := range slices.Concat(hopHeaders, config.Headers.Reserved(), config.Headers.Forbidden) {
 		h.forbidden[http.CanonicalHeaderKey(name)] = true
 	}
 	return h
@@ -259,7 +259,7 @@
 		if h.config.Source.Table() != nil && h.config.Source.Fresh() {
 			return
 		}
-		periodic.Pause(ctx, freshStep)
+		periodic.Sleep(ctx, freshStep)
 	}
 }
 
--- a/internal/forward/limits_test.go
+++ b/internal/forward/limits_test.go
@@ -50,7 +50,7 @@
 // A request counts once, whoever counts it and however often it is sent.
 func TestARequestCountsOnceAndOnlyIfItRan(t *testing.T) {
 	stream := func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(names.Seal, "s")
+		w.Header().Set(names.Signature, "s")
 		_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
 	}
 	chat := func(r *rig) {
@@ -110,7 +110,7 @@
 // spelling, doubled, or named by Connection.
 func TestHeadersOfTheRoutersOwnAreDroppedFromCallers(t *testing.T) {
 	r := newRig(t)
-	owned := r.handler.config.Headers.Owned()
+	owned := r.handler.config.Headers.Reserved()
 	r.add("app", "a", func(w http.ResponseWriter, q *http.Request) {
 		for _, name := range owned {
 			for _, value := range q.Header.Values(name) {
--- a/internal/forward/pushback_test.go
+++ b/internal/forward/pushback_test.go
@@ -124,7 +124,7 @@
 	r := newRig(t)
 	r.add("app", "x", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "30")
-		w.Header().Set(names.Seal, "seal")
+		w.Header().Set(names.Signature, "seal")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
 	r.add("app", "y", good)
@@ -210,7 +210,7 @@
 }
 
 func otherWeights(w http.ResponseWriter, q *http.Request) {
-	w.Header().Set(names.InstanceIs, q.Header.Get(names.Instance))
+	w.Header().Set(names.ResponseInstance, q.Header.Get(names.Instance))
 	w.WriteHeader(http.StatusMisdirectedRequest)
 }
 
--- a/internal/forward/ratelimit_test.go
+++ b/internal/forward/ratelimit_test.go
@@ -110,7 +110,7 @@
 			continue
 		}
 		assert.Equal(t, answer.status, http.StatusServiceUnavailable)
-		assert.Equal(t, answer.header.Get(names.Seal), "")
+		assert.Equal(t, answer.header.Get(names.Signature), "")
 		assert.Assert(t, time.Since(begun) < 200*time.Millisecond, "it was held for %v", time.Since(begun))
 		refused++
 		after := retryAfter(t, answer)
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -51,7 +51,7 @@
 
 // events writes the events from first to last of a stream.
 func events(w http.ResponseWriter, first, last int) {
-	w.Header().Set(names.Seal, "seal")
+	w.Header().Set(names.Signature, "seal")
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := first; i <= last; i++ {
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: piece %d\n\n", i, i)
--- a/internal/gateway/application.go
+++ b/internal/gateway/application.go
@@ -93,7 +93,7 @@
 	defer g.metrics.open.Dec()
 	r := &call{id: requestID(c), tenant: tenant, path: path, route: route, body: body, header: c.Request().Header}
 	var result answer
-	if route.Repeatable {
+	if route.Retryable {
 		result, err = g.callRepeatable(c.Request().Context(), r)
 	} else {
 		result, err = g.callOnce(c.Request().Context(), r)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -95,7 +95,7 @@
 		Classes: map[string]bundle.Class{"normal": {Priority: 50, FirstToken: 2 * time.Second}},
 		Tenants: map[string]bundle.Tenant{"a": {KeySHA256: digest("key-a"), Weight: 1, Class: "normal"}},
 		Routes: map[string]bundle.Route{"charge": {Path: "/charges", Deadline: time.Second},
-			"slots": {Path: "/slots", Repeatable: true, Deadline: time.Second}}}
+			"slots": {Path: "/slots", Retryable: true, Deadline: time.Second}}}
 	config, err := f.board.Config.Claim("test")
 	assert.NilError(t, err)
 	config.Store(board.NewConfig(controlapi.Stamp{Version: 1}, b))
--- a/internal/level/level_test.go
+++ b/internal/level/level_test.go
@@ -22,7 +22,7 @@
 // not listed.
 func formats() map[string]any {
 	return map[string]any{
-		"request": coordapi.Request{}, "reply": coordapi.Reply{}, "consensus": coordapi.Consensus{}, "whole": coordapi.Whole{},
+		"request": coordapi.Request{}, "reply": coordapi.Reply{}, "consensus": coordapi.Consensus{}, "whole": coordapi.FullView{},
 		"rows": []state.Backend{}, "loads": []coordapi.Load{}, "command": state.Command{}, "deployment": state.Deployment{},
 		"entry": raft.Entry{}, "hard-state": raft.HardState{}, "snapshot": raft.Snapshot{},
 	}
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -39,9 +39,9 @@
 // sent.
 var ErrUnreachable = errors.New("address cannot be reached")
 
-// ErrBroken is returned when the connection ended before the reply. The call
+// ErrConnectionLost is returned when the connection ended before the reply. The call
 // may have been done.
-var ErrBroken = errors.New("connection ended before the reply")
+var ErrConnectionLost = errors.New("connection ended before the reply")
 
 // Client calls any number of addresses over one connection each.
 type Client struct {
@@ -167,12 +167,12 @@
 	defer l.forget(e.Number)
 	sent := clock.Now()
 	if err := l.write(connection, e); err != nil {
-		return envelope{}, errors.Mark(err, ErrBroken)
+		return envelope{}, errors.Mark(err, ErrConnectionLost)
 	}
 	select {
 	case e, ok := <-answer:
 		if !ok {
-			return envelope{}, ErrBroken
+			return envelope{}, ErrConnectionLost
 		}
 		return e, nil
 	case <-ctx.Done():
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -63,7 +63,7 @@
 		if errors.Is(err, ErrUnreachable) {
 			break
 		}
-		assert.Assert(t, errors.Is(err, ErrBroken), "%v", err)
+		assert.Assert(t, errors.Is(err, ErrConnectionLost), "%v", err)
 	}
 }
 
@@ -81,7 +81,7 @@
 	client := NewClient(&Counters{})
 	defer client.Close()
 	err = client.Call(context.Background(), listener.Addr().String(), "echo", 1, nil)
-	assert.Assert(t, errors.Is(err, ErrBroken), "%v", err)
+	assert.Assert(t, errors.Is(err, ErrConnectionLost), "%v", err)
 }
 
 func TestOneWayMessagesArrive(t *testing.T) {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -133,8 +133,8 @@
 // ErrUnknownKind is returned by handlers for calls that they do not serve.
 var ErrUnknownKind = errors.New("unknown kind of call")
 
-// Decoded runs a handler on the decoded body of a call.
-func Decoded[Request, Reply any](body json.RawMessage, handle func(Request) (Reply, error)) (any, error) {
+// HandleDecoded runs a handler on the decoded body of a call.
+func HandleDecoded[Request, Reply any](body json.RawMessage, handle func(Request) (Reply, error)) (any, error) {
 	var request Request
 	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, errors.Wrap(err, "decode call")
--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// Pause waits, or until the context ends.
-func Pause(ctx context.Context, wait time.Duration) {
+// Sleep waits, or until the context ends.
+func Sleep(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(wait):
--- a/internal/placer/limited_test.go
+++ b/internal/placer/limited_test.go
@@ -21,9 +21,9 @@
 	limiter.SetLease(time.Hour)
 	p := New(limiter)
 	p.Apply(engines(n), nil, true)
-	var limits []coordapi.LimitWord
+	var limits []coordapi.LimitReport
 	for _, e := range engines(limited) {
-		limits = append(limits, coordapi.LimitWord{ID: coordapi.BackendID(e.ID), Pool: "llm", Limited: true, Rate: rate})
+		limits = append(limits, coordapi.LimitReport{ID: coordapi.BackendID(e.ID), Pool: "llm", Limited: true, Rate: rate})
 	}
 	limiter.Observe(0, limits)
 	return p
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -133,10 +133,10 @@
 // that it drains says nothing of its successor.
 func TestAnotherStartSaysNothingOfThisOne(t *testing.T) {
 	r := newRig()
-	r.answers("a", 421, names.Draining, "1", names.InstanceIs, "b")
+	r.answers("a", 421, names.Draining, "1", names.ResponseInstance, "b")
 	r.answers("a", 421, names.Draining, "1")
 	assert.NilError(t, r.Check("a"))
-	r.answers("a", 421, names.Draining, "1", names.InstanceIs, "a")
+	r.answers("a", 421, names.Draining, "1", names.ResponseInstance, "a")
 	assert.ErrorIs(t, r.Check("a"), ErrUnavailable)
 }
 
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -130,7 +130,7 @@
 }
 
 // Observe takes what back ends have said, and returns those whose limit has changed.
-func (b *Limiter) Observe(now time.Duration, words []coordapi.LimitWord) (changed []coordapi.BackendID) {
+func (b *Limiter) Observe(now time.Duration, words []coordapi.LimitReport) (changed []coordapi.BackendID) {
 	if len(words) == 0 {
 		return nil
 	}
@@ -148,7 +148,7 @@
 }
 
 // hear takes one word, and tells whether it changes a limit.
-func (b *Limiter) hear(now time.Duration, told *coordapi.LimitWord) bool {
+func (b *Limiter) hear(now time.Duration, told *coordapi.LimitReport) bool {
 	w := wordOf(now, told)
 	a := b.starts[told.ID]
 	if a == nil {
@@ -263,7 +263,7 @@
 		if !a.word.limited {
 			continue
 		}
-		out = append(out, coordapi.BackendLimit{ID: id, Pool: a.pool, Rate: float64(a.word.rate), HeardAgo: now - a.word.heard,
+		out = append(out, coordapi.BackendLimit{ID: id, Pool: a.pool, Rate: float64(a.word.rate), ObservedAgo: now - a.word.heard,
 			Granted: a.got.Value(now, claimsTime) / claimsTime.Seconds(), Denied: a.denied.Value(now, claimsTime) / claimsTime.Seconds()})
 	}
 	slices.SortFunc(out, func(x, y coordapi.BackendLimit) int { return cmp.Compare(x.ID, y.ID) })
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -23,11 +23,13 @@
 	return b
 }
 
-func limited(id string, rate float64) []coordapi.LimitWord {
-	return []coordapi.LimitWord{{ID: coordapi.BackendID(id), Pool: "p", Limited: true, Rate: rate}}
+func limited(id string, rate float64) []coordapi.LimitReport {
+	return []coordapi.LimitReport{{ID: coordapi.BackendID(id), Pool: "p", Limited: true, Rate: rate}}
 }
 
-func over(id string) []coordapi.LimitWord { return []coordapi.LimitWord{{ID: coordapi.BackendID(id)}} }
+func over(id string) []coordapi.LimitReport {
+	return []coordapi.LimitReport{{ID: coordapi.BackendID(id)}}
+}
 
 // wish is a request of a router for a back end.
 func wish(number int, id string) Request {
@@ -144,7 +146,7 @@
 func TestALimitHoldsUntilANewerWordComes(t *testing.T) {
 	b := newTestBank()
 	at := func(now time.Duration, rate float64, limited bool, sent, heard time.Duration) {
-		b.Observe(now, []coordapi.LimitWord{{ID: "a", Pool: "p", Limited: limited, Rate: rate, Sent: now - sent, Heard: now - heard}})
+		b.Observe(now, []coordapi.LimitReport{{ID: "a", Pool: "p", Limited: limited, Rate: rate, SentAgo: now - sent, ReceivedAgo: now - heard}})
 	}
 	holds := func(now time.Duration) bool { return !b.Take(now, wish(0, "a")).Unlimited }
 	at(time.Second, 1, true, 800*time.Millisecond, 900*time.Millisecond)
@@ -251,7 +253,7 @@
 func TestFiguresOfOtherProcessesAreBounded(t *testing.T) {
 	b := newTestBank()
 	for i, rate := range []float64{-5, 1e308, 1e308, 3} {
-		b.Observe(0, []coordapi.LimitWord{{ID: "a", Pool: "p", Limited: true, Rate: rate, Sent: -time.Hour, Heard: -time.Hour}})
+		b.Observe(0, []coordapi.LimitReport{{ID: "a", Pool: "p", Limited: true, Rate: rate, SentAgo: -time.Hour, ReceivedAgo: -time.Hour}})
 		b.Observe(0, limited(fmt.Sprint(i), rate))
 	}
 	b.Remove([]string{"a", "0", "1", "2"})
@@ -277,7 +279,7 @@
 	b := NewLimiter(slog.New(slog.DiscardHandler))
 	b.SetLeading(true)
 	b.SetLease(time.Minute)
-	b.Observe(0, []coordapi.LimitWord{{ID: "engine-7", Pool: "chat", Limited: true, Rate: 2}})
+	b.Observe(0, []coordapi.LimitReport{{ID: "engine-7", Pool: "chat", Limited: true, Rate: 2}})
 	fmt.Println(b.Take(0, Request{Router: "r1", Number: 1, Backend: "engine-7"}).Granted)
 	fmt.Println(b.Take(0, Request{Router: "r2", Number: 1, Backend: "engine-7"}).Wait)
 	fmt.Println(b.RetryAfter(0, "chat"))
--- a/internal/ratelimit/observation.go
+++ b/internal/ratelimit/observation.go
@@ -43,12 +43,12 @@
 
 // wordOf returns what a process told, by the clock of who hears it. That one may be of another
 // build, or wrong: no rate is beyond what an answer can name, and no word from the future.
-func wordOf(now time.Duration, w *coordapi.LimitWord) word {
+func wordOf(now time.Duration, w *coordapi.LimitReport) word {
 	rate := min(max(PerSecond(w.Rate), 0), highest)
-	return word{sent: now - max(w.Sent, 0), heard: now - max(w.Heard, 0), limited: w.Limited, rate: rate}
+	return word{sent: now - max(w.SentAgo, 0), heard: now - max(w.ReceivedAgo, 0), limited: w.Limited, rate: rate}
 }
 
 // tell is a word for others.
-func (w word) tell(now time.Duration, id coordapi.BackendID, pool string) coordapi.LimitWord {
-	return coordapi.LimitWord{ID: id, Pool: pool, Limited: w.limited, Rate: float64(w.rate), Sent: now - w.sent, Heard: now - w.heard}
+func (w word) tell(now time.Duration, id coordapi.BackendID, pool string) coordapi.LimitReport {
+	return coordapi.LimitReport{ID: id, Pool: pool, Limited: w.limited, Rate: float64(w.rate), SentAgo: now - w.sent, ReceivedAgo: now - w.heard}
 }
--- a/internal/ratelimit/registry.go
+++ b/internal/ratelimit/registry.go
@@ -258,7 +258,7 @@
 }
 
 // TakeUnreported returns the words that the leader has not been told. A nil register has none.
-func (g *Registry) TakeUnreported() []coordapi.LimitWord {
+func (g *Registry) TakeUnreported() []coordapi.LimitReport {
 	if g == nil {
 		return nil
 	}
@@ -268,7 +268,7 @@
 		return nil
 	}
 	now := g.clock()
-	out := make([]coordapi.LimitWord, 0, len(g.untold))
+	out := make([]coordapi.LimitReport, 0, len(g.untold))
 	for id := range g.untold {
 		if s := g.starts[id]; s != nil {
 			out = append(out, s.word.tell(now, id, s.pool))
@@ -295,7 +295,7 @@
 
 // Requeue makes News return words once more that no leader has taken. A nil register has
 // none.
-func (g *Registry) Requeue(words []coordapi.LimitWord) {
+func (g *Registry) Requeue(words []coordapi.LimitReport) {
 	if g == nil {
 		return
 	}
--- a/internal/ratelimit/registry_test.go
+++ b/internal/ratelimit/registry_test.go
@@ -106,12 +106,12 @@
 // The one that answers 421 may be another start at the address.
 func TestAnotherStartSaysNothingOfThisOnesLimit(t *testing.T) {
 	r := newRig()
-	r.answers("a", 421, names.Limit, "1", names.InstanceIs, "b")
+	r.answers("a", 421, names.Limit, "1", names.ResponseInstance, "b")
 	assert.NilError(t, r.Check("a", nil))
 	r.answers("a", 200, names.Limit, "1")
 	r.answers("a", 421)
 	assert.ErrorIs(t, r.Check("a", nil), ErrNoPermit)
-	r.answers("a", 421, names.InstanceIs, "a")
+	r.answers("a", 421, names.ResponseInstance, "a")
 	assert.NilError(t, r.Check("a", nil))
 	// An order's answer without a known start.
 	r.answers("", 200, names.Limit, "1")
@@ -159,17 +159,17 @@
 	r.answers("b", 200, names.Limit, "2")
 	r.answers("b", 200)
 	r.now += time.Second
-	told := map[coordapi.BackendID]coordapi.LimitWord{}
+	told := map[coordapi.BackendID]coordapi.LimitReport{}
 	for _, w := range r.TakeUnreported() {
 		told[w.ID] = w
 	}
-	assert.DeepEqual(t, told["a"], coordapi.LimitWord{ID: "a", Pool: "p", Limited: true, Rate: 1, Heard: time.Second + 2*time.Millisecond,
-		Sent: time.Second + 3*time.Millisecond})
+	assert.DeepEqual(t, told["a"], coordapi.LimitReport{ID: "a", Pool: "p", Limited: true, Rate: 1, ReceivedAgo: time.Second + 2*time.Millisecond,
+		SentAgo: time.Second + 3*time.Millisecond})
 	assert.Assert(t, !told["b"].Limited)
 	assert.Equal(t, len(r.TakeUnreported()), 0)
 	r.ReportAgain()
 	assert.Equal(t, len(r.TakeUnreported()), 1)
-	r.Requeue([]coordapi.LimitWord{told["a"], told["b"], {ID: "unknown"}})
+	r.Requeue([]coordapi.LimitReport{told["a"], told["b"], {ID: "unknown"}})
 	assert.Equal(t, len(r.TakeUnreported()), 2)
 	// A leader that says that there is none may only not know: it is told once more.
 	assert.NilError(t, r.Consume("a", Unlimited("a")))
--- a/internal/router/handlers.go
+++ b/internal/router/handlers.go
@@ -15,9 +15,9 @@
 func (r *Router) handle(_ context.Context, kind string, body json.RawMessage) (any, error) {
 	switch kind {
 	case controlapi.KindHold:
-		return peer.Decoded(body, r.rollout.handleHold)
+		return peer.HandleDecoded(body, r.rollout.handleHold)
 	case controlapi.KindTrace:
-		return peer.Decoded(body, r.handleTrace)
+		return peer.HandleDecoded(body, r.handleTrace)
 	}
 	return nil, errors.Wrap(peer.ErrUnknownKind, kind)
 }
--- a/internal/settings/deployment.go
+++ b/internal/settings/deployment.go
@@ -107,9 +107,9 @@
 // SetDefaults fills the fields that the file leaves out.
 func (r *DisklessRouter) SetDefaults() { r.Log.setDefaults() }
 
-// RightLease is how long the router may serve after a coordinator vouched for
+// ServingLease is how long the router may serve after a coordinator vouched for
 // its configuration.
-func (r *DisklessRouter) RightLease() time.Duration { return r.Revocation - r.Revocation/7 }
+func (r *DisklessRouter) ServingLease() time.Duration { return r.Revocation - r.Revocation/7 }
 
 // DrainLimit bounds a planned stop.
 func (r *DisklessRouter) DrainLimit() time.Duration { return r.StopGrace - r.StopGrace/10 }
--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -126,7 +126,7 @@
 		row.Weights = map[string]int{model: b.version}
 		b.mu.Unlock()
 	}
-	body, _ := json.Marshal(coordapi.Beat{Backend: row, Sequence: coordapi.Sequence(b.sequence.Add(1))})
+	body, _ := json.Marshal(coordapi.Heartbeat{Backend: row, Sequence: coordapi.Sequence(b.sequence.Add(1))})
 	if b.soak.control(ctx, http.MethodPost, "/v1/backends/"+b.id+"/heartbeat", body) == http.StatusOK && draining {
 		b.drainedAt.CompareAndSwap(0, int64(b.soak.now()))
 	}
@@ -174,7 +174,7 @@
 		return
 	}
 	if expected := r.Header.Get(names.Instance); expected != b.id {
-		w.Header().Set(names.InstanceIs, b.id)
+		w.Header().Set(names.ResponseInstance, b.id)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -204,7 +204,7 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	w.Header().Set(names.Seal, sealOf(id))
+	w.Header().Set(names.Signature, sealOf(id))
 	if strings.HasPrefix(r.URL.Path, "/stream/") || strings.HasPrefix(r.URL.Path, "/chat/") {
 		b.stream(w, r, id, trouble == troubleBreak && troubled)
 		return
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -92,7 +92,7 @@
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	c.status, c.body, c.whole = response.StatusCode, string(body), err == nil
-	c.seal = response.Header.Get(names.Seal)
+	c.seal = response.Header.Get(names.Signature)
 	c.blocked = c.status == http.StatusBadGateway && response.Header.Get("Retry-After") != ""
 	c.refused = c.status == http.StatusServiceUnavailable || c.status == http.StatusTooManyRequests
 }
--- a/internal/standin/callers/application.go
+++ b/internal/standin/callers/application.go
@@ -22,7 +22,7 @@
 // call makes an application call until it is answered or patience ends.
 func (c *callers) call(ctx context.Context, r workload.Request) {
 	name := ""
-	if !r.Kind.Repeatable {
+	if !r.Kind.Retryable {
 		name = key(r, c.config.Seed)
 	}
 	if name != "" && r.Number%doubleShare == 0 {
--- a/internal/vocabulary/vocabulary.go
+++ b/internal/vocabulary/vocabulary.go
@@ -13,12 +13,12 @@
 	Deadline string
 	// Instance is the ID of the start of a back end that a request is meant
 	// for; InstanceIs is how a back end tells its own.
-	Instance   string
-	InstanceIs string
+	Instance         string
+	ResponseInstance string
 	// Tenant is the name of the tenant that holds the caller's key.
 	Tenant string
-	// Seal is a back end's signature over its answer.
-	Seal string
+	// Signature is a back end's signature over its answer.
+	Signature string
 	// NotRun on an answer says that the back end did not run the request.
 	NotRun string
 	// Draining on an answer says that the back end is about to end and wants no new work.
@@ -37,8 +37,8 @@
 	Priority string
 	// Version is the weights version that a request is meant for; VersionIs is
 	// how an answer tells the version it was made with.
-	Version   string
-	VersionIs string
+	Version         string
+	ResponseVersion string
 	// Salt separates kept prompts; FetchFrom and SaveTo name where an engine
 	// takes kept prompts from and sends them to.
 	Salt      string
@@ -48,9 +48,9 @@
 	Forbidden []string
 }
 
-// Owned are the headers that only a router sets. What a caller sends there is
+// Reserved are the headers that only a router sets. What a caller sends there is
 // dropped.
-func (h *Headers) Owned() []string {
+func (h *Headers) Reserved() []string {
 	return []string{h.Instance, h.Tenant, h.Priority, h.Version, h.Salt, h.FetchFrom, h.SaveTo}
 }
 
@@ -58,30 +58,30 @@
 // instance. Another one at the address says 421, and says nothing of the start that was
 // meant: what it asks for would hold for its successor or the one before.
 func (h *Headers) IsFrom(instance string, answer *http.Response) bool {
-	return answer.StatusCode != http.StatusMisdirectedRequest || answer.Header.Get(h.InstanceIs) == instance
+	return answer.StatusCode != http.StatusMisdirectedRequest || answer.Header.Get(h.ResponseInstance) == instance
 }
 
 // Default is the product's own vocabulary.
 func Default() Headers {
 	return Headers{
-		RequestID:  "X-Request-Id",
-		Deadline:   "Request-Deadline-Ms",
-		Instance:   "Engine-Incarnation",
-		InstanceIs: "Engine-Incarnation",
-		Tenant:     "Tenant",
-		Seal:       "Response-Signature",
-		NotRun:     "Not-Run",
-		Draining:   "Engine-Draining",
-		Limit:      "Engine-Limit",
-		LastEvent:  "Last-Event-Id",
-		Model:      "Model",
-		Usage:      "Prompt-Usage",
-		Prefix:     "Prompt-Parts",
-		Priority:   "Priority",
-		Version:    "Weights-Version",
-		VersionIs:  "Weights-Version",
-		Salt:       "Cache-Salt",
-		FetchFrom:  "Cache-Fetch-From",
-		SaveTo:     "Cache-Save-To",
+		RequestID:        "X-Request-Id",
+		Deadline:         "Request-Deadline-Ms",
+		Instance:         "Engine-Incarnation",
+		ResponseInstance: "Engine-Incarnation",
+		Tenant:           "Tenant",
+		Signature:        "Response-Signature",
+		NotRun:           "Not-Run",
+		Draining:         "Engine-Draining",
+		Limit:            "Engine-Limit",
+		LastEvent:        "Last-Event-Id",
+		Model:            "Model",
+		Usage:            "Prompt-Usage",
+		Prefix:           "Prompt-Parts",
+		Priority:         "Priority",
+		Version:          "Weights-Version",
+		ResponseVersion:  "Weights-Version",
+		Salt:             "Cache-Salt",
+		FetchFrom:        "Cache-Fetch-From",
+		SaveTo:           "Cache-Save-To",
 	}
 }
