--- a/internal/coordapi/check.go
+++ b/internal/coordapi/check.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// maxName bounds the names of back ends, pools, zones and models, in bytes.
+	// maxName is the maximum length of the names of back ends, pools, zones and models, in
+	// bytes.
 	maxName = 256
-	// maxSlots is more than any back end works on at once.
+	// maxSlots exceeds the number of requests that any back end runs at once.
 	maxSlots = 1 << 20
 )
 
-// Check finds what makes a heartbeat useless, with its place. Whoever sends it may be no
-// back end at all.
+// Check validates a heartbeat, which may come from a process that is no back end. The error
+// begins with the name of the invalid field.
 func (b *Heartbeat) Check() error {
 	row := &b.Backend
 	for field, text := range map[string]string{"id": row.ID, "pool": row.Pool, "zone": row.Zone} {
@@ -23,14 +24,14 @@
 		}
 	}
 	if address, err := netip.ParseAddrPort(row.Address); err != nil || address.Port() == 0 {
-		return errors.Newf("address: %.64q is no IP number with a port", row.Address)
+		return errors.Newf("address: %.64q is not an IP address with a port", row.Address)
 	}
 	if row.Slots < 1 || row.Slots > maxSlots {
 		return errors.Newf("slots: %d is not within 1 to %d", row.Slots, maxSlots)
 	}
 	for model, version := range row.Weights {
 		if model == "" || len(model) > maxName || version < 1 {
-			return errors.Newf("weights: a name and a version of 1 or more are required, not %.64q at %d", model, version)
+			return errors.Newf("weights: a name and a version of at least 1 are required, got %.64q with version %d", model, version)
 		}
 	}
 	return nil
--- a/internal/coordapi/coordapi.go
+++ b/internal/coordapi/coordapi.go
@@ -1,6 +1,5 @@
-// Package coordapi holds the messages between routers without a disk, back-end
-// adapters and the coordinators of a deployment. They travel as JSON lines by
-// package peer.
+// Package coordapi defines the messages that diskless routers, back-end adapters and
+// coordinators exchange. Package peer sends them as JSON lines.
 package coordapi
 
 import (
@@ -17,19 +16,18 @@
 const (
 	// KindRaft carries a Consensus and has no reply.
 	KindRaft = "raft"
-	// KindCall carries a Request and is answered by a Reply.
+	// KindCall carries a Request, and its reply is a Reply.
 	KindCall = "call"
 )
 
-// Consensus is a consensus message with the peer address of its sender. A node
-// that has just joined knows no other way to answer.
+// Consensus is a Raft message with the peer address of its sender, to which a node that has just
+// joined replies.
 type Consensus struct {
 	Sender  string       `json:"sender"`
 	Message raft.Message `json:"message"`
 }
 
-// Request is one call to the leader of the coordinators. Exactly one field is
-// set.
+// Request is a call to the leader of the coordinators. Exactly one field is set.
 type Request struct {
 	Find            *Find              `json:"find,omitempty"`
 	Watch           *Watch             `json:"watch,omitempty"`
@@ -48,36 +46,36 @@
 	Unblock         *state.Unblock     `json:"unblock,omitempty"`
 }
 
-// Reply answers a Request.
+// Reply is the reply to a Request.
 type Reply struct {
-	// NotLeader says that nothing was done here. Leader is the peer address of
-	// the leader, empty when none is known.
+	// NotLeader is true if this node does not lead and ignored the request. Leader is then the
+	// peer address of the leader, empty if unknown.
 	NotLeader bool   `json:"not_leader,omitempty"`
 	Leader    string `json:"leader,omitempty"`
-	// Backends is how many back ends a node that does not lead knows of.
+	// Backends is the number of back ends that a node which does not lead has in its state.
 	Backends int `json:"backends,omitempty"`
-	// Document answers Read.
+	// Document is the reply to Read, and View the reply to Watch.
 	Document json.RawMessage `json:"document,omitempty"`
 	View     *View           `json:"view,omitempty"`
-	// Placed answers Place, and Claimed Claim.
+	// Placed is the reply to Place, and Claimed the reply to Claim.
 	Placed  *Placed  `json:"placed,omitempty"`
 	Claimed *Claimed `json:"claimed,omitempty"`
-	// Repeated answers Repeat.
+	// Repeated is the reply to Repeat.
 	Repeated *Repeated `json:"repeated,omitempty"`
-	// Limits answers ListLimits.
+	// Limits is the reply to ListLimits.
 	Limits *LimitsInForce `json:"limits,omitempty"`
 }
 
-// Find asks whether the node leads, and if not, who does.
+// Find asks whether the node is the leader, and otherwise for the leader's address.
 type Find struct{}
 
-// Watch asks for what changed since a revision. The leader holds the call
-// until there is news or Wait is over.
+// Watch requests the changes since a revision. The leader replies when there are some, or after
+// Wait without any.
 type Watch struct {
 	Router string `json:"router"`
 	// Since is the revision of the last View, 0 for none.
 	Since uint64 `json:"since"`
-	// Leader is the token of the leader's own knowledge in the last View.
+	// Leader is View.Leader of the last View.
 	Leader LeaderToken `json:"leader,omitempty"`
 	// SavedSince is View.SavedUntil of the last View.
 	SavedSince uint64 `json:"saved_since,omitempty"`
@@ -85,150 +83,148 @@
 	Announced uint64 `json:"announced,omitempty"`
 	// Shards is View.Shard.Count of the last View.
 	Shards int `json:"shards,omitempty"`
-	// Level is that of the watcher's build, 0 before builds named it.
+	// Level is the format level of the router's build, 0 from builds that do not send it.
 	Level int           `json:"level,omitempty"`
 	Wait  time.Duration `json:"wait"`
 }
 
-// View is what changed. A leader that holds its lease vouches that nothing
-// newer was acknowledged before it made the View.
+// View contains the changes since a Watch's revision. The leader holds its lease when it makes a
+// View, so that the View includes all changes acknowledged before.
 type View struct {
 	Revision uint64 `json:"revision"`
-	// Leader changes with Notes.
+	// Leader is the token of Notes and changes with them.
 	Leader LeaderToken `json:"leader,omitempty"`
-	// Version is the configuration in force. Document is set when it changed
-	// since the watcher's revision.
+	// Version is the version of the current configuration. Document is set if it changed since
+	// the revision.
 	Version  uint64          `json:"version"`
 	Document json.RawMessage `json:"document,omitempty"`
-	// PackedDocument is a packed Document in its place, where it is large.
+	// PackedDocument replaces a large Document, packed.
 	PackedDocument []byte `json:"packed_document,omitempty"`
-	// Shard says of which engines the watcher is told. It drops the others.
+	// Shard is the part of the engines that the router receives. It drops all others.
 	Shard Shard `json:"shard,omitzero"`
-	// Backends are the changed rows and Departed the removed ones.
+	// Backends are the changed rows, and Departed the IDs of the removed ones.
 	Backends []state.Backend `json:"backends,omitempty"`
 	Departed []string        `json:"departed,omitempty"`
-	// PackedBackends is a packed []state.Backend in place of Backends, where there are
-	// many.
+	// PackedBackends replaces many Backends: a packed []state.Backend.
 	PackedBackends []byte `json:"packed_backends,omitempty"`
-	// Packed is a packed Whole, in place of Document, Backends and Departed, for
-	// a watcher whose revision is too old for changes.
+	// Packed replaces Document, Backends and Departed if the history no longer reaches back to
+	// the revision: a packed FullView.
 	Packed []byte `json:"packed,omitempty"`
-	// Blocked is set when the blocked requests changed since the watcher's revision.
+	// Blocked is set if the blocked requests changed since the revision.
 	Blocked *Blocked `json:"blocked,omitempty"`
-	// Notes is set when Leader is not the token that the watcher named.
+	// Notes is set if Leader differs from the token in the Watch.
 	Notes
-	// Routers is how many routers share the retry budget.
+	// Routers is the number of routers that share the retry budget.
 	Routers int `json:"routers"`
-	// Saved are prompt parts that routers have saved to the store since the
-	// watcher's SavedSince, in order; SavedUntil counts them.
+	// Saved are the prompt parts that routers saved to the store after SavedSince, in order.
+	// SavedUntil is the SavedSince of the next Watch.
 	Saved      []uint64 `json:"saved,omitempty"`
 	SavedUntil uint64   `json:"saved_until,omitempty"`
-	// Loads is the work of all routers together, set when Announced is not the
-	// number that the watcher named.
+	// Loads is the combined load of all routers, set if Announced differs from that of the
+	// Watch.
 	Loads []Load `json:"loads,omitempty"`
-	// PackedLoads is a packed []Load in place of Loads, where there are many.
+	// PackedLoads replaces many Loads: a packed []Load.
 	PackedLoads []byte `json:"packed_loads,omitempty"`
-	// EngineLoads says that engines are among them. Most announcements leave them out:
-	// the leader places what engines get.
+	// EngineLoads reports whether the loads include engines. Most announcements leave them out,
+	// since the leader places the requests for engines.
 	EngineLoads bool `json:"engine_loads,omitempty"`
-	// LoadsAge is how old the loads are in the mean, as of the View.
+	// LoadsAge is the mean age of the loads when the View was made.
 	LoadsAge time.Duration `json:"loads_age,omitempty"`
-	// Shares are the tenants whose demand is above their limit.
+	// Shares are the shares of the tenants whose demand exceeds their limit.
 	Shares []quota.Share `json:"shares,omitempty"`
 	// Announced counts the leader's announcements of Saved and Loads.
 	Announced uint64 `json:"announced,omitempty"`
-	// Members are the peer addresses of the coordinators, set when they changed since the
-	// watcher's revision.
+	// Members are the peer addresses of the coordinators, set if they changed since the
+	// revision.
 	Members []string `json:"members,omitempty"`
 }
 
-// Notes is what only the leader knows.
+// Notes is the part of a View that is not replicated: only the leader has it.
 type Notes struct {
-	// Minimum maps models to the lowest weights version that may serve now.
+	// Minimum is the lowest weights version that may serve now, by model.
 	Minimum map[string]int `json:"minimum,omitempty"`
-	// Expired maps models to the version below which no request may begin any
-	// more: one that waits at an engine is given up.
+	// Expired is the version, by model, below which no request may start any more. Requests for
+	// an older one that still wait at an engine are canceled.
 	Expired map[string]int `json:"expired,omitempty"`
-	// Preferred maps models to the version below which answers lose a part of
-	// their worth.
+	// Preferred is the version, by model, below which answers have a reduced value.
 	Preferred map[string]int `json:"preferred,omitempty"`
-	// Unresponsive are back ends that sent no heartbeat for a while.
+	// Unresponsive are the back ends whose heartbeats are overdue.
 	Unresponsive []string `json:"silent,omitempty"`
-	// Limited are back ends that take only so many requests a second from all machines: who
-	// sends them one needs a right.
+	// Limited are the back ends that limit their total request rate. Sending a request to one of
+	// them requires a permit.
 	Limited []BackendID `json:"limited,omitempty"`
-	// Suspects are requests under which back ends have ended, though not enough to block
-	// them: routers tell of whole answers to them.
+	// Suspects are requests during which back ends failed, but too few to block them. Routers
+	// report when one of them gets a complete answer.
 	Suspects []poison.Digest `json:"suspects,omitempty"`
 }
 
-// Blocked are all requests that are kept from back ends.
+// Blocked contains all requests that no back end may receive.
 type Blocked struct {
 	Requests []state.BlockedRequest `json:"requests,omitempty"`
 }
 
-// Read asks for the configuration in force.
+// Read requests the current configuration.
 type Read struct{}
 
-// BackendID names one start of a back end. A new start has a new one, also if the back end
-// names itself as before.
+// BackendID identifies one start of a back end: it differs after a restart, although the back
+// end's own name does not.
 type BackendID string
 
-// Sequence counts the heartbeats of one start of a back end, from 1. A heartbeat
-// with a lower one is late.
+// Sequence counts the heartbeats of one start of a back end, from 1. A heartbeat with a lower
+// number than the last one is out of date.
 type Sequence uint64
 
 // Heartbeat is a back end's heartbeat.
 type Heartbeat struct {
-	// Backend has the name that the back end gives itself as its ID.
+	// Backend describes the back end. Its ID is the name that the back end uses for itself.
 	Backend  state.Backend `json:"backend"`
 	Sequence Sequence      `json:"sequence"`
 }
 
-// HeartbeatDigest brings the leader the heartbeats that another coordinator answered by
-// itself, since they changed nothing.
+// HeartbeatDigest reports to the leader the heartbeats that changed nothing, to which another
+// coordinator replied without the leader.
 type HeartbeatDigest struct {
 	// Sequences maps back ends to the sequence of their last heartbeat.
 	Sequences map[BackendID]Sequence `json:"heard,omitempty"`
 }
 
-// Leave says that a back end is gone or about to be: no new work.
+// Leave reports that a back end has stopped, or is about to and takes no new work.
 type Leave struct {
-	// ID is how the back end names itself.
+	// ID is the name that the back end uses for itself.
 	ID string `json:"id"`
-	// Born is when it started, 0 if it does not say.
+	// Born is the back end's start time, 0 if not reported.
 	Born state.UnixMilli `json:"born,omitempty"`
 }
 
-// Update brings the leader what a router has done lately. It is a hint: what is
-// lost is told again.
+// Update reports a router's recent work to the leader. It may be lost: the router reports it
+// again.
 type Update struct {
 	Router string `json:"router"`
-	// Saved are prompt parts that the router is saving to the store, so that
-	// the others need not. A part is named by a hash of its salt and ID.
+	// Saved are the prompt parts that the router is saving to the store, so that others do not
+	// save them too. A part is identified by a hash of its salt and ID.
 	Saved []uint64 `json:"saved,omitempty"`
-	// Loads is all work that the router has under way.
+	// Loads are the requests that the router has in progress.
 	Loads []Load `json:"loads,omitempty"`
-	// Reports are of placements and engines.
+	// Reports are about placements and engines.
 	Reports
-	// Refused counts the requests refused since the last word because all
-	// engines of their pool were behind.
+	// Refused counts the requests that the router rejected since its last Update because all
+	// engines of their pool were overloaded.
 	Refused int `json:"refused,omitempty"`
 }
 
-// Load is work under way at a back end.
+// Load is the work in progress at a back end.
 type Load struct {
 	ID string `json:"id"`
-	// Running counts requests, Memory is what they take at most and Prompt what
-	// is not read yet, in tokens.
+	// Running is the number of requests, Memory their maximum memory and Prompt the prompt
+	// tokens not read yet, both in tokens.
 	Running int `json:"r,omitempty"`
 	Memory  int `json:"m,omitempty"`
 	Prompt  int `json:"p,omitempty"`
-	// Engine says that the back end is a model engine.
+	// Engine reports whether the back end is a model engine.
 	Engine bool `json:"e,omitempty"`
 }
 
-// Join asks for a coordinator to become a member of the group.
+// Join asks the leader to add a coordinator to the group.
 type Join struct {
 	Change raft.Change `json:"change"`
 }
--- a/internal/coordapi/example_test.go
+++ b/internal/coordapi/example_test.go
@@ -6,7 +6,7 @@
 	"quinceridge.example/quinceridge/internal/coordapi"
 )
 
-// The leader packs what all routers need once; each router unpacks it.
+// The leader packs data for all routers once, and each router unpacks it.
 func ExamplePack() {
 	packed, err := coordapi.Pack([]coordapi.Load{{ID: "i-7f3a91c2", Running: 3, Memory: 21000, Prompt: 400}})
 	if err != nil {
--- a/internal/coordapi/fuzz_test.go
+++ b/internal/coordapi/fuzz_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// Whatever another process sends is an error or a message, and what is read can be told
-// again.
+// Checks that any input that decodes as a message can be encoded again.
 func FuzzMessages(f *testing.F) {
 	for _, seed := range []string{`{"watch":{"router":"r","wait":1}}`, `{"place":{"router":"r","number":1,"pool":"p","limits":[{"id":"a","limited":true,"rate":1e308}]}}`,
 		`{"claim":{"backend":"b"}}`, `{"view":{"revision":1,"backends":[{"id":"a"}],"limited":["a"]}}`, `{"tell":{"spent":[{"t":"a","a":-1}]}}`, `{"placed":{"right":-1}}`, `[`, `{"watch":3}`} {
@@ -30,7 +29,7 @@
 	})
 }
 
-// A packed part of a view may be cut off, or no packed value at all.
+// Checks that Unpack survives truncated and invalid input.
 func FuzzUnpack(f *testing.F) {
 	packed, err := Pack(FullView{})
 	if err != nil {
--- a/internal/coordapi/label.go
+++ b/internal/coordapi/label.go
@@ -1,6 +1,6 @@
 package coordapi
 
-// Label names what a request asks for, for the figures of who sends it.
+// Label returns the request's kind for the metrics of sent messages.
 func (r Request) Label() string {
 	switch {
 	case r.Place != nil:
@@ -23,7 +23,8 @@
 	return "other call"
 }
 
-// Label names what a reply brings: of a view the largest part that it may have.
+// Label returns the reply's kind for the metrics of sent messages. A View is named after the
+// first part, in order of size, that it contains.
 func (r Reply) Label() string {
 	v := r.View
 	switch {
--- a/internal/coordapi/limit.go
+++ b/internal/coordapi/limit.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// LimitReport is what an answer has said of how much its back end takes from all machines
-// together.
+// LimitReport is what a response revealed about the rate limit that a back end applies to all
+// machines together.
 type LimitReport struct {
 	ID   BackendID `json:"id"`
 	Pool string    `json:"pool,omitempty"`
-	// Limited says that there is a limit, and Rate how many requests a second.
+	// Limited reports whether the back end has a limit, and Rate is the limit in requests per
+	// second.
 	Limited bool    `json:"limited,omitempty"`
 	Rate    float64 `json:"rate,omitempty"`
-	// SentAgo is how long ago the request was written and Heard how long ago the head of its
-	// answer was read: the back end made it in between.
+	// SentAgo is the time since the request was written, and ReceivedAgo the time since the
+	// response's header was read. The back end stated its limit in between.
 	SentAgo     time.Duration `json:"sent"`
 	ReceivedAgo time.Duration `json:"heard"`
 }
 
-// Claimant says whose request wants a right.
+// Claimant is the origin of a request, by which permits are shared out.
 type Claimant struct {
 	// Urgency is 0 for the most urgent.
 	Urgency int `json:"u,omitempty"`
-	// Tenant is empty for requests without a key.
+	// Tenant is empty for requests without an API key.
 	Tenant string `json:"t,omitempty"`
 }
 
-// Claim asks for the right to send one request to a back end that takes only so many a
-// second from all machines together.
+// Claim requests a permit to send one request to a back end that limits its total request rate.
 type Claim struct {
 	Router string `json:"router"`
-	// Number names the claim among the claims and placements of the router.
+	// Number identifies the claim among the router's claims and placements.
 	Number   uint64    `json:"number"`
 	Backend  BackendID `json:"backend"`
 	Pool     string    `json:"pool"`
@@ -36,64 +36,66 @@
 	Reports
 }
 
-// Claimed answers a Claim.
+// Claimed is the reply to a Claim.
 type Claimed struct {
-	// Permit is how long after the question the permit to send the request holds; 0 for none.
+	// Permit is the validity of the permit, counted from the moment the Claim was sent; 0 if it
+	// was denied.
 	Permit time.Duration `json:"right,omitempty"`
-	// Unlimited says that the back end names no limit any more.
+	// Unlimited reports whether the back end no longer has a limit.
 	Unlimited bool `json:"free,omitempty"`
-	// Wait is when the back end takes another request, whosever it is; 0 says that it keeps
-	// its next for others.
+	// Wait is the time until the back end accepts another request from anyone; 0 if the next
+	// ones are reserved for others.
 	Wait time.Duration `json:"wait,omitempty"`
-	// RetryAfter is when there is room for the request at some back end of the pool, behind
-	// those that were turned away before it.
+	// RetryAfter is the time until some back end of the pool has capacity for the request, after
+	// the requests that were turned away earlier.
 	RetryAfter time.Duration `json:"room,omitempty"`
 }
 
-// Repeat asks for one more repeat than a router's own requests allow, of what all routers
-// may repeat together.
+// Repeat requests one retry from the budget that all routers share, when the router's own
+// requests allow no more.
 type Repeat struct {
 	Pool string `json:"pool"`
-	// Burst is how many repeats there may be within Window beyond a part of the requests,
-	// over all routers.
+	// Burst is the number of retries that all routers together may make within Window, beyond
+	// the fixed ratio of their requests.
 	Burst  float64       `json:"burst"`
 	Window time.Duration `json:"window"`
 }
 
-// Repeated answers a Repeat.
+// Repeated is the reply to a Repeat.
 type Repeated struct {
 	Granted bool `json:"granted,omitempty"`
 }
 
-// ListLimits asks for the limits that the leader keeps.
+// ListLimits requests the limits that the leader enforces.
 type ListLimits struct{}
 
-// LimitsInForce answers ListLimits.
+// LimitsInForce is the reply to ListLimits.
 type LimitsInForce struct {
 	Backends []BackendLimit `json:"backends,omitempty"`
 	Tenants  []TenantLimit  `json:"tenants,omitempty"`
 }
 
-// BackendLimit is what a back end takes from all machines, and what became of that lately.
+// BackendLimit is a back end's rate limit for all machines together, and its recent use.
 type BackendLimit struct {
 	ID   BackendID `json:"id"`
 	Pool string    `json:"pool"`
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate float64 `json:"rate"`
-	// ObservedAgo is how long ago it was heard last.
+	// ObservedAgo is the time since the limit was last observed.
 	ObservedAgo time.Duration `json:"heard_ago"`
-	// Granted and Denied are rights a second, of the last seconds.
+	// Granted and Denied are permits per second, over the last few seconds.
 	Granted float64 `json:"granted"`
 	Denied  float64 `json:"denied"`
 }
 
-// TenantLimit is what a tenant may use over all routers, and what it has used lately.
+// TenantLimit is a tenant's limit over all routers, and its recent use.
 type TenantLimit struct {
 	Name string `json:"name"`
-	// Rate is in units of the limit a second, and Burst what may be used above that at once.
+	// Rate is in units of the limit per second, and Burst the units that may be used at once
+	// beyond it.
 	Rate  float64 `json:"rate"`
 	Burst float64 `json:"burst"`
-	// Asked and Refused are units a second, of the last second.
+	// Asked and Refused are units per second, over the last second.
 	Asked   float64 `json:"asked"`
 	Refused float64 `json:"refused"`
 }
--- a/internal/coordapi/pack.go
+++ b/internal/coordapi/pack.go
@@ -10,18 +10,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxUnpacked bounds what a packed value may unpack to: 64 MiB.
+// maxUnpacked is the maximum size of an unpacked value: 64 MiB.
 const maxUnpacked = 64 << 20
 
-// compressors are kept: one takes about 1 MB to set up.
+// compressors reuses gzip writers, since each allocates about 1 MB.
 var compressors = sync.Pool{New: func() any {
-	// The level is a constant that the package accepts.
+	// NewWriterLevel fails only for an invalid level.
 	w, _ := gzip.NewWriterLevel(nil, gzip.BestSpeed)
 	return w
 }}
 
-// Pack returns the compressed JSON of a value. The leader packs what goes to
-// all routers once, and not once for each.
+// Pack returns the compressed JSON of a value, which the leader computes once for all routers.
 func Pack(value any) ([]byte, error) {
 	var packed bytes.Buffer
 	compressor := compressors.Get().(*gzip.Writer)
@@ -36,7 +35,7 @@
 	return packed.Bytes(), nil
 }
 
-// Unpack reads what Pack made.
+// Unpack decodes the output of Pack into value.
 func Unpack(packed []byte, value any) error {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/internal/coordapi/token.go
+++ b/internal/coordapi/token.go
@@ -5,17 +5,16 @@
 	"strings"
 )
 
-// LeaderToken names a state of what only the leader knows. It changes with each change
-// of that, and no two leaderships share one. A router that follows nobody has the empty
-// one.
+// LeaderToken identifies a state of the leader's Notes. It changes with them and is never shared
+// by two leaderships. A router without a leader has the empty token.
 type LeaderToken string
 
-// NewLeaderToken returns the token of a leadership after a number of changes.
+// NewLeaderToken returns the token for a leadership after a number of changes.
 func NewLeaderToken(leadership string, changes int) LeaderToken {
 	return LeaderToken(leadership + "-" + strconv.Itoa(changes))
 }
 
-// Leadership returns the leadership that a token belongs to.
+// Leadership returns the leadership that the token belongs to.
 func (t LeaderToken) Leadership() string {
 	leadership, _, _ := strings.Cut(string(t), "-")
 	return leadership
--- a/internal/coordapi/token_test.go
+++ b/internal/coordapi/token_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestATokenNamesItsLeadership(t *testing.T) {
+func TestLeaderTokenReturnsLeadership(t *testing.T) {
 	token := NewLeaderToken("k3", 12)
 	assert.Equal(t, token, LeaderToken("k3-12"))
 	assert.Equal(t, token.Leadership(), "k3")
--- a/internal/coordapi/whole.go
+++ b/internal/coordapi/whole.go
@@ -6,12 +6,12 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// FullView is all that a router must know of the replicated state. All routers of
-// a deployment ask for it at once when all processes start anew.
+// FullView is the part of the replicated state that routers need. All routers request it at once
+// after a restart of the whole deployment.
 type FullView struct {
-	// Document is the configuration in force, nil before the first.
+	// Document is the current configuration, nil before the first.
 	Document json.RawMessage `json:"document,omitempty"`
 	Backends []state.Backend `json:"backends,omitempty"`
-	// Blocked are the requests that are kept from back ends.
+	// Blocked contains the requests that no back end may receive.
 	Blocked Blocked `json:"blocked"`
 }
--- a/internal/coordapi/whole_test.go
+++ b/internal/coordapi/whole_test.go
@@ -9,7 +9,7 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-func TestAWholeViewComesBackAsItWas(t *testing.T) {
+func TestPackRoundTripsFullView(t *testing.T) {
 	var rows []state.Backend
 	for i := range 3000 {
 		rows = append(rows, state.Backend{ID: fmt.Sprintf("i-%010x", i*7919), Pool: "llm", Address: fmt.Sprintf("10.0.%d.%d:8080", i/250, i%250),
@@ -17,7 +17,7 @@
 	}
 	packed, err := Pack(FullView{Document: []byte(`{"version":7}`), Backends: rows})
 	assert.NilError(t, err)
-	// All routers of a deployment may ask for it in the same moment.
+	// All routers of a deployment may request it at the same time.
 	assert.Assert(t, len(packed) < 40*len(rows), "%d bytes", len(packed))
 	var got FullView
 	assert.NilError(t, Unpack(packed, &got))
@@ -25,7 +25,7 @@
 	assert.DeepEqual(t, got.Backends, rows)
 }
 
-func TestADamagedWholeViewIsRefused(t *testing.T) {
+func TestUnpackRejectsDamagedData(t *testing.T) {
 	packed, err := Pack(FullView{})
 	assert.NilError(t, err)
 	for _, damaged := range [][]byte{nil, packed[:len(packed)/2], []byte("not packed")} {
--- a/internal/coordinator/http.go
+++ b/internal/coordinator/http.go
@@ -28,7 +28,7 @@
 //	PUT  /v1/configuration            a traffic.Document
 //	GET  /v1/configuration            the one in force
 //	POST /v1/weights                  a state.NameWeights
-//	POST /v1/backends/{id}/heartbeat  a coordapi.Beat
+//	POST /v1/backends/{id}/heartbeat  a coordapi.Heartbeat
 //	POST /v1/backends/{id}/leave      with ?born= if it may start again under its name
 //	GET  /v1/blocked                  the requests that are kept from back ends
 //	GET  /v1/limits                   coordapi.LimitsInForce, of the leader
