--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,36 +14,34 @@
 )
 
 const (
-	// dialTimeout is how long an address is dialled before the calls that wait
-	// for it fail.
+	// dialTimeout is the time after which dialing an address fails, and with it the calls that
+	// wait for the connection.
 	dialTimeout = time.Second
-	// dialAgain is the time after which another attempt is made beside the first.
-	// A machine without power answers nothing, and the system asks it again only
-	// after a second: too late for one that has just come back.
-	dialAgain = 150 * time.Millisecond
-	// redialPause keeps a client from dialling a dead address all the time.
-	redialPause = 100 * time.Millisecond
-	// silenceLimit is how long a peer may leave what was sent unacknowledged
-	// before its connection is given up.
-	silenceLimit = 900 * time.Millisecond
-	// silentCall is how long a call must have waited, with nothing received meanwhile, for
-	// its connection to be given up with it. Longer than any reply takes that is not held
-	// on purpose, and those travel beside others.
-	silentCall = 400 * time.Millisecond
-	// sendQueue bounds the one-way messages that wait for an address. More are
-	// dropped: their senders repeat them.
-	sendQueue = 1024
+	// dialInterval is the time between parallel dial attempts. The system resends a lost SYN
+	// only after a second, which is too late for a machine that has just come back.
+	dialInterval = 150 * time.Millisecond
+	// redialDelay is the time after a failed dial during which calls fail without another one.
+	redialDelay = 100 * time.Millisecond
+	// ackTimeout is the time after which a connection with unacknowledged data is closed.
+	ackTimeout = 900 * time.Millisecond
+	// stalledCallAge is the minimum age at which a canceled call closes its connection, if
+	// nothing was received since the call. It exceeds the time to any reply except those that
+	// are delayed on purpose, which share the connection with others.
+	stalledCallAge = 400 * time.Millisecond
+	// sendQueueSize is the maximum number of queued one-way messages for an address. Further
+	// ones are dropped, which is safe since their senders repeat them.
+	sendQueueSize = 1024
 )
 
-// ErrUnreachable is returned when no connection could be had. The call was not
-// sent.
+// ErrUnreachable is returned when no connection could be opened. The call was not sent.
 var ErrUnreachable = errors.New("address cannot be reached")
 
-// ErrConnectionLost is returned when the connection ended before the reply. The call
-// may have been done.
+// ErrConnectionLost is returned when the connection ended before the reply. The call may have
+// been executed.
 var ErrConnectionLost = errors.New("connection ended before the reply")
 
-// Client calls any number of addresses over one connection each.
+// Client calls any number of addresses, with one connection to each. It is safe for concurrent
+// use.
 type Client struct {
 	counters *Counters
 	dial     dialFunction
@@ -52,23 +50,23 @@
 	links map[string]*link
 }
 
-// dialFunction opens one connection.
+// dialFunction opens a connection.
 type dialFunction func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewClient returns a client without connections.
+// NewClient returns a client that dials addresses on first use.
 func NewClient(counters *Counters) *Client {
-	dialer := net.Dialer{Control: socket.UserTimeout(silenceLimit)}
+	dialer := net.Dialer{Control: socket.UserTimeout(ackTimeout)}
 	return &Client{counters: counters, dial: dialer.DialContext, links: map[string]*link{}}
 }
 
-// Call sends a request to address and decodes the reply. The context's end
-// gives up waiting; the call may still be done.
+// Call sends a request to address and decodes the reply. If the context ends first, Call
+// returns, but the call may still be executed.
 func (c *Client) Call(ctx context.Context, address, kind string, request, reply any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return errors.Wrap(err, "encode request")
 	}
-	answer, err := c.link(address).call(ctx, envelope{Kind: kind, Body: body, Carries: labelOf(request, kind)})
+	answer, err := c.link(address).call(ctx, envelope{Kind: kind, Body: body, Label: labelOf(request, kind)})
 	if err != nil {
 		return errors.Wrapf(err, "call %s at %s", kind, address)
 	}
@@ -78,16 +76,16 @@
 	return errors.Wrap(json.Unmarshal(answer.Body, reply), "decode reply")
 }
 
-// Send queues a one-way message. It never waits and may lose the message.
+// Send queues a one-way message. It never blocks, and the message may be lost.
 func (c *Client) Send(address, kind string, message any) {
 	body, err := json.Marshal(message)
 	if err != nil {
 		return
 	}
-	c.link(address).enqueue(envelope{Kind: kind, Body: body, Carries: labelOf(message, kind)})
+	c.link(address).enqueue(envelope{Kind: kind, Body: body, Label: labelOf(message, kind)})
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,7 +106,7 @@
 	return l
 }
 
-// link is the connection to one address. Lock order: link.mu only.
+// link is the connection to an address. Lock order: link.mu only.
 type link struct {
 	address  string
 	counters *Counters
@@ -119,7 +117,7 @@
 
 	mu         sync.Mutex
 	connection net.Conn
-	// received is when something was received last.
+	// received is the time at which a message last arrived.
 	received time.Duration
 	waiting  map[uint64]chan envelope
 	number   uint64
@@ -128,9 +126,9 @@
 }
 
 func newLink(address string, counters *Counters, dial dialFunction) *link {
-	l := &link{address: address, counters: counters, dial: dial, queue: make(chan envelope, sendQueue), stop: make(chan struct{}),
+	l := &link{address: address, counters: counters, dial: dial, queue: make(chan envelope, sendQueueSize), stop: make(chan struct{}),
 		waiting: map[uint64]chan envelope{}}
-	go l.drain()
+	go l.sendQueued()
 	return l
 }
 
@@ -141,8 +139,8 @@
 	}
 }
 
-// drain sends queued one-way messages.
-func (l *link) drain() {
+// sendQueued sends the queued one-way messages.
+func (l *link) sendQueued() {
 	for {
 		select {
 		case <-l.stop:
@@ -164,7 +162,7 @@
 	}
 	answer := make(chan envelope, 1)
 	e.Number = l.register(answer)
-	defer l.forget(e.Number)
+	defer l.unregister(e.Number)
 	sent := clock.Now()
 	if err := l.write(connection, e); err != nil {
 		return envelope{}, errors.Mark(err, ErrConnectionLost)
@@ -176,19 +174,19 @@
 		}
 		return e, nil
 	case <-ctx.Done():
-		l.suspect(connection, sent)
+		l.dropIfStalled(connection, sent)
 		return envelope{}, errors.Wrap(ctx.Err(), "wait for reply")
 	}
 }
 
-// suspect drops a connection over which nothing came since a call was sent that has
-// waited for long. It may have gone silent for good, without a reset, while others to
-// the same address work.
-func (l *link) suspect(connection net.Conn, sent time.Duration) {
+// dropIfStalled drops the connection if nothing was received over it since a call that has
+// waited for stalledCallAge. A connection may stop delivering data without a reset, while new
+// ones to the same address work.
+func (l *link) dropIfStalled(connection net.Conn, sent time.Duration) {
 	l.mu.Lock()
-	silent := l.received < sent && clock.Since(sent) >= silentCall
+	stalled := l.received < sent && clock.Since(sent) >= stalledCallAge
 	l.mu.Unlock()
-	if silent {
+	if stalled {
 		l.drop(connection)
 	}
 }
@@ -201,14 +199,13 @@
 	return l.number
 }
 
-func (l *link) forget(number uint64) {
+func (l *link) unregister(number uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.waiting, number)
 }
 
-// connect returns the connection, dialling if there is none. Callers that come
-// while another one dials wait for its result.
+// connect returns the connection, and dials if there is none. Concurrent callers share one dial.
 func (l *link) connect(ctx context.Context) (net.Conn, error) {
 	for {
 		l.mu.Lock()
@@ -216,7 +213,7 @@
 			defer l.mu.Unlock()
 			return l.connection, nil
 		}
-		if l.failedAt > 0 && clock.Since(l.failedAt) < redialPause {
+		if l.failedAt > 0 && clock.Since(l.failedAt) < redialDelay {
 			defer l.mu.Unlock()
 			return nil, ErrUnreachable
 		}
@@ -234,7 +231,7 @@
 	}
 }
 
-// open dials and tells those who wait.
+// open dials and wakes the callers of connect.
 func (l *link) open() {
 	connection, err := l.dialRepeatedly()
 	select {
@@ -257,9 +254,8 @@
 	go l.receive(connection)
 }
 
-// dialRepeatedly starts an attempt every dialAgain until one has an outcome.
-// The first outcome counts: a refusal says that the machine is there and the
-// process is not.
+// dialRepeatedly starts another attempt every dialInterval and returns the first result, also if
+// that is an error: a refused connection shows that the machine is up and the process is not.
 func (l *link) dialRepeatedly() (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -278,7 +274,7 @@
 			}
 		}
 	}
-	again := time.NewTicker(dialAgain)
+	again := time.NewTicker(dialInterval)
 	defer again.Stop()
 	for {
 		go attempt()
@@ -297,8 +293,7 @@
 	if err != nil {
 		return err
 	}
-	// A net.Conn takes whole writes from several goroutines without mixing
-	// them.
+	// A net.Conn does not interleave concurrent writes.
 	_ = connection.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := connection.Write(line); err != nil {
 		l.drop(connection)
@@ -326,7 +321,7 @@
 	}
 }
 
-// drop forgets a connection and fails the calls that wait on it.
+// drop closes a connection and fails the calls that wait on it.
 func (l *link) drop(connection net.Conn) {
 	_ = connection.Close()
 	l.mu.Lock()
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Whatever comes over a connection is a message or the end of it.
+// Checks that any input yields messages or an error, and ends.
 func FuzzLines(f *testing.F) {
 	f.Add([]byte("{\"n\":1,\"kind\":\"call\",\"body\":{}}\n"))
 	f.Add([]byte("{\"n\":-1}\n{\"body\""))
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer is the internal protocol: JSON lines over TCP between control
-// nodes, routers and operators. A line is one envelope; replies carry the
-// number of the call they answer and may come in any order.
+// Package peer implements the internal protocol between control nodes, coordinators, routers and
+// operators: JSON lines over TCP. A line contains one envelope. Replies have the number of their
+// call and may arrive in any order.
 package peer
 
 import (
@@ -14,23 +14,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxLine bounds one message. The whole bundle of the target size is 6 MiB.
+// maxLine is the maximum size of a message, well above that of the largest bundle.
 const maxLine = 64 << 20
 
-// ErrRemote is the mark of an error that the called process reported.
+// ErrRemote marks an error that the called process returned.
 var ErrRemote = errors.New("remote error")
 
-// envelope is one line. A call with number 0 wants no reply.
+// envelope is the content of a line. A call with number 0 gets no reply.
 type envelope struct {
 	Number uint64          `json:"n,omitempty"`
 	Kind   string          `json:"kind,omitempty"`
 	Body   json.RawMessage `json:"body,omitempty"`
 	Error  string          `json:"error,omitempty"`
-	// Carries names what the message carries, for the figures of who sends it.
-	Carries string `json:"-"`
+	// Label is the kind of the message in Counters.
+	Label string `json:"-"`
 }
 
-// Counters count the bytes and messages of all connections of a process.
+// Counters counts the bytes and messages of all connections of a process.
 type Counters struct {
 	BytesIn     atomic.Uint64
 	BytesOut    atomic.Uint64
@@ -38,27 +38,27 @@
 	MessagesOut atomic.Uint64
 
 	mu sync.Mutex
-	// sent are the messages that went out, by what they carry.
+	// sent counts the sent messages by label.
 	sent map[string]Sent
 }
 
-// Sent is what went out of one sort.
+// Sent is the number of messages sent with one label, and their total size.
 type Sent struct{ Messages, Bytes uint64 }
 
-// Labeled is the body of a message that says what it carries. Any other counts under the
-// kind of its call.
+// Labeled is implemented by bodies with a label of their own. Other messages are counted under
+// the kind of their call.
 type Labeled interface{ Label() string }
 
-// labelOf is what a body carries.
-func labelOf(body any, otherwise string) string {
+// labelOf returns the label of a body.
+func labelOf(body any, fallback string) string {
 	if l, labeled := body.(Labeled); labeled {
 		return l.Label()
 	}
-	return otherwise
+	return fallback
 }
 
-// count notes a message that goes out.
-func (c *Counters) count(carries string, bytes int) {
+// count counts a sent message.
+func (c *Counters) count(label string, bytes int) {
 	c.BytesOut.Add(uint64(bytes))
 	c.MessagesOut.Add(1)
 	c.mu.Lock()
@@ -66,11 +66,11 @@
 	if c.sent == nil {
 		c.sent = map[string]Sent{}
 	}
-	s := c.sent[carries]
-	c.sent[carries] = Sent{s.Messages + 1, s.Bytes + uint64(bytes)}
+	s := c.sent[label]
+	c.sent[label] = Sent{s.Messages + 1, s.Bytes + uint64(bytes)}
 }
 
-// Sent returns what went out so far, by what it carries.
+// Sent returns the counts of sent messages by label.
 func (c *Counters) Sent() map[string]Sent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,11 +83,11 @@
 	counters *Counters
 }
 
-const firstBuffer = 16 << 10
+const initialBuffer = 16 << 10
 
 func newLineReader(r io.Reader, counters *Counters) *lineReader {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 0, firstBuffer), maxLine)
+	scanner.Buffer(make([]byte, 0, initialBuffer), maxLine)
 	return &lineReader{scanner: scanner, counters: counters}
 }
 
@@ -105,13 +105,13 @@
 	return e, errors.Wrap(err, "decode message")
 }
 
-// bodyField begins the body's field of an envelope.
+// bodyField precedes the body in an encoded envelope.
 const bodyField = `"body":`
 
 // encodeLine returns the line of an envelope.
 func encodeLine(e envelope, counters *Counters) ([]byte, error) {
-	// The body is what json.Marshal made. To encode the envelope around it as a whole reads
-	// and copies it once more.
+	// The body is valid JSON already. Marshaling the whole envelope would scan and copy it
+	// again.
 	body := e.Body
 	e.Body = nil
 	head, err := json.Marshal(e)
@@ -130,6 +130,6 @@
 		line = append(line, '}')
 	}
 	line = append(line, '\n')
-	counters.count(e.Carries, len(line))
+	counters.count(e.Label, len(line))
 	return line, nil
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -33,7 +33,7 @@
 	return nil, errors.Wrap(ErrUnknownKind, kind)
 }
 
-func TestRepliesReachTheirOwnCalls(t *testing.T) {
+func TestClientMatchesRepliesToCalls(t *testing.T) {
 	_, address := serve(t, echo)
 	client := NewClient(&Counters{})
 	defer client.Close()
@@ -48,7 +48,7 @@
 	group.Wait()
 }
 
-func TestErrorsSayWhoseTheyAre(t *testing.T) {
+func TestClientDistinguishesRemoteAndConnectionErrors(t *testing.T) {
 	server, address := serve(t, echo)
 	client := NewClient(&Counters{})
 	defer client.Close()
@@ -58,7 +58,7 @@
 	assert.ErrorContains(t, client.Call(context.Background(), address, "other", 1, nil), "unknown kind")
 	server.Close()
 	for {
-		// The first calls may still meet the old connection's end.
+		// The first calls may still use the old connection.
 		err = client.Call(context.Background(), address, "echo", 1, nil)
 		if errors.Is(err, ErrUnreachable) {
 			break
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestACallThatTheServerDropsIsBroken(t *testing.T) {
+func TestCallFailsWhenServerClosesConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
@@ -84,7 +84,7 @@
 	assert.Assert(t, errors.Is(err, ErrConnectionLost), "%v", err)
 }
 
-func TestOneWayMessagesArrive(t *testing.T) {
+func TestSendDeliversMessage(t *testing.T) {
 	got := make(chan string, 10)
 	_, address := serve(t, func(_ context.Context, kind string, body json.RawMessage) (any, error) {
 		got <- fmt.Sprint(kind, string(body))
@@ -96,7 +96,7 @@
 	assert.Equal(t, <-got, "note7")
 }
 
-func TestTheCallersPatienceEndsTheWait(t *testing.T) {
+func TestCallEndsWithContext(t *testing.T) {
 	release := make(chan struct{})
 	_, address := serve(t, func(context.Context, string, json.RawMessage) (any, error) {
 		<-release
@@ -110,9 +110,9 @@
 	assert.ErrorIs(t, client.Call(ctx, address, "echo", 1, nil), context.DeadlineExceeded)
 }
 
-// A machine that was without power when it was dialled is reached soon after it
-// is back, not when the first attempt ends.
-func TestAnAddressThatComesBackIsReachedSoon(t *testing.T) {
+// Checks that a call succeeds soon after an unreachable machine recovers, and not only after the
+// first dial attempt ends.
+func TestCallSucceedsSoonAfterAddressRecovers(t *testing.T) {
 	_, address := serve(t, echo)
 	client := NewClient(&Counters{})
 	defer client.Close()
@@ -122,23 +122,22 @@
 	client.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		mu.Lock()
 		attempts++
-		dark := attempts < 3
+		unreachable := attempts < 3
 		mu.Unlock()
-		if dark {
+		if unreachable {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
 		return dial(ctx, network, address)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout-dialAgain)
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout-dialInterval)
 	defer cancel()
 	var reply int
 	assert.NilError(t, client.Call(ctx, address, "echo", 7, &reply))
 	assert.Equal(t, reply, 7)
 }
 
-// A call does not wait longer than its caller wants for a connection.
-func TestACallEndsWithItsContextWhileItsAddressIsDialled(t *testing.T) {
+func TestCallEndsWithContextDuringDial(t *testing.T) {
 	client := NewClient(&Counters{})
 	defer client.Close()
 	client.dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -153,9 +152,9 @@
 	assert.Assert(t, time.Since(started) < dialTimeout/2)
 }
 
-// A connection may go silent for good, without a reset, while new ones work: a router
-// whose calls all ran out over it reached no leader any more.
-func TestACallThatRunsOutGivesItsSilentConnectionUp(t *testing.T) {
+// A connection may stop delivering data without a reset, while new ones work. Checks that a call
+// that times out over such a connection closes it.
+func TestCallTimeoutDropsStalledConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	silent := make(chan struct{})
@@ -175,29 +174,29 @@
 	client := NewClient(&Counters{})
 	defer client.Close()
 	address := listener.Addr().String()
-	before := func() net.Conn {
+	current := func() net.Conn {
 		l := client.link(address)
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return l.connection
 	}
 	var reply int
-	ctx, cancel := context.WithTimeout(t.Context(), silentCall+50*time.Millisecond)
+	ctx, cancel := context.WithTimeout(t.Context(), stalledCallAge+50*time.Millisecond)
 	defer cancel()
 	assert.Assert(t, client.Call(ctx, address, "echo", 1, &reply) != nil)
 	<-silent
-	assert.Assert(t, before() == nil, "the connection is kept")
+	assert.Assert(t, current() == nil, "the stalled connection is still in use")
 	assert.NilError(t, client.Call(t.Context(), address, "echo", 2, &reply))
-	// A call that gives up sooner, or beside which replies come, says nothing.
-	kept := before()
+	// A call that is canceled early, or during which other replies arrive, does not count as
+	// stalled.
+	want := current()
 	ctx, cancel = context.WithTimeout(t.Context(), time.Microsecond)
 	defer cancel()
 	assert.Assert(t, client.Call(ctx, address, "echo", 3, &reply) != nil)
-	assert.Assert(t, before() == kept)
+	assert.Assert(t, current() == want)
 }
 
-// A line is the JSON of its envelope, however it is put together.
-func TestALineIsTheJSONOfItsEnvelope(t *testing.T) {
+func TestEncodeLineIsJSON(t *testing.T) {
 	for _, e := range []envelope{
 		{},
 		{Number: 7},
@@ -215,8 +214,7 @@
 	}
 }
 
-// lateListener hands a connection out a moment after it was closed, as one that is accepted
-// at that moment is.
+// lateListener returns a connection from Accept shortly after Close.
 type lateListener struct {
 	net.Listener
 	closed chan struct{}
@@ -239,15 +237,13 @@
 	return nil
 }
 
-// A coordinator that was stopped waited for good: a connection that came as its listener was
-// closed was served after all others had been cut, for as long as the caller kept it. Seen
-// in a test that stops all nodes of a group; its dump shows the one goroutine that reads from
-// such a connection, and Close, which waits for it.
-func TestAConnectionThatComesAsTheServerClosesIsCut(t *testing.T) {
-	kept, served := net.Pipe()
-	defer kept.Close()
+// Checks that Close closes a connection that was accepted while it ran, instead of serving it
+// and waiting for it.
+func TestCloseClosesConnectionAcceptedLate(t *testing.T) {
+	client, server := net.Pipe()
+	defer client.Close()
 	l := &lateListener{closed: make(chan struct{}), late: make(chan net.Conn, 1)}
-	l.late <- served
+	l.late <- server
 	s := Serve(l, &Counters{}, func(context.Context, string, json.RawMessage) (any, error) { return nil, nil })
 	done := make(chan struct{})
 	go func() {
@@ -257,8 +253,8 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("it waits for the connection")
+		t.Fatal("Close waits for the connection")
 	}
-	_, err := kept.Read(make([]byte, 1))
+	_, err := client.Read(make([]byte, 1))
 	assert.Assert(t, err != nil)
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -10,16 +10,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Handler answers one call. It is called from many goroutines.
+// Handler executes a call and returns its reply. It is called concurrently.
 type Handler func(ctx context.Context, kind string, body json.RawMessage) (reply any, err error)
 
 const (
-	// callsPerConnection bounds how many calls of one connection run at once.
+	// callsPerConnection is the maximum number of concurrent calls of a connection.
 	callsPerConnection = 256
 	writeTimeout       = 5 * time.Second
 )
 
-// Server serves calls on a listener.
+// Server executes the calls that arrive on a listener.
 type Server struct {
 	handler  Handler
 	counters *Counters
@@ -32,7 +32,7 @@
 	connections map[net.Conn]struct{}
 }
 
-// Serve starts to serve on the listener and returns at once.
+// Serve starts a server on the listener and returns it.
 func Serve(listener net.Listener, counters *Counters, handler Handler) *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{handler: handler, counters: counters, ctx: ctx, cancel: cancel, listener: listener,
@@ -41,7 +41,7 @@
 	return s
 }
 
-// Close stops serving and cuts all connections.
+// Close closes the listener and all connections, and waits for running calls.
 func (s *Server) Close() {
 	s.cancel()
 	_ = s.listener.Close()
@@ -59,7 +59,7 @@
 		if err != nil {
 			return
 		}
-		if !s.keep(connection) {
+		if !s.track(connection) {
 			_ = connection.Close()
 			return
 		}
@@ -67,10 +67,9 @@
 	}
 }
 
-// keep notes a connection for Close to cut. It returns false if Close has done so with the
-// others: one that is accepted as the listener closes would be served for as long as its caller
-// keeps it, and Close wait for that.
-func (s *Server) keep(connection net.Conn) bool {
+// track records a connection for Close. It returns false after Close, which would otherwise wait
+// for a connection that was accepted too late for it to close.
+func (s *Server) track(connection net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ctx.Err() != nil {
@@ -88,7 +87,7 @@
 		s.mu.Unlock()
 	}()
 	lines := newLineReader(connection, s.counters)
-	var writing sync.Mutex
+	var writeMutex sync.Mutex
 	slots := make(chan struct{}, callsPerConnection)
 	var calls sync.WaitGroup
 	defer calls.Wait()
@@ -100,17 +99,17 @@
 		slots <- struct{}{}
 		calls.Go(func() {
 			defer func() { <-slots }()
-			s.answer(connection, &writing, call)
+			s.answer(connection, &writeMutex, call)
 		})
 	}
 }
 
-func (s *Server) answer(connection net.Conn, writing *sync.Mutex, call envelope) {
+func (s *Server) answer(connection net.Conn, writeMutex *sync.Mutex, call envelope) {
 	reply, err := s.handler(s.ctx, call.Kind, call.Body)
 	if call.Number == 0 {
 		return
 	}
-	answer := envelope{Number: call.Number, Carries: labelOf(reply, call.Kind)}
+	answer := envelope{Number: call.Number, Label: labelOf(reply, call.Kind)}
 	if err == nil {
 		answer.Body, err = json.Marshal(reply)
 	}
@@ -122,18 +121,18 @@
 	if err != nil {
 		return
 	}
-	writing.Lock()
-	defer writing.Unlock()
+	writeMutex.Lock()
+	defer writeMutex.Unlock()
 	_ = connection.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := connection.Write(line); err != nil {
 		_ = connection.Close()
 	}
 }
 
-// ErrUnknownKind is returned by handlers for calls that they do not serve.
+// ErrUnknownKind is returned by handlers for calls of a kind that they do not serve.
 var ErrUnknownKind = errors.New("unknown kind of call")
 
-// HandleDecoded runs a handler on the decoded body of a call.
+// HandleDecoded decodes the body of a call and passes it to a handler.
 func HandleDecoded[Request, Reply any](body json.RawMessage, handle func(Request) (Reply, error)) (any, error) {
 	var request Request
 	if err := json.Unmarshal(body, &request); err != nil {
