--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -17,7 +17,7 @@
 		Tenants: map[string]Tenant{"a": {KeySHA256: strings.Repeat("0", 64), Weight: 1, Class: "c"}}}
 }
 
-func TestDeltasRebuildTheBundle(t *testing.T) {
+func TestPatchAppliesDelta(t *testing.T) {
 	from, err := sample(1, "").Canonical()
 	assert.NilError(t, err)
 	next := sample(2, Digest(from))
@@ -35,7 +35,7 @@
 	assert.ErrorIs(t, err, ErrDigest)
 }
 
-func TestReferencesAreChecked(t *testing.T) {
+func TestCheckReportsInvalidReferences(t *testing.T) {
 	b := sample(2, "")
 	b.Tenants["b"] = Tenant{KeySHA256: strings.Repeat("0", 64), Weight: 1, Class: "none"}
 	b.Events = map[string]Event{"e": {Tenants: []string{"nobody"}}}
@@ -48,7 +48,7 @@
 	assert.DeepEqual(t, paths, []string{"$.parent", "$.approvals", "$.tenants.b.class", "$.tenants.b.key_sha256", "$.events.e.tenants", "$.routes.y.path"})
 }
 
-func TestSignaturesFitOneDigestAndKey(t *testing.T) {
+func TestVerifyRequiresMatchingDigestAndKey(t *testing.T) {
 	public, private, err := GenerateKey()
 	assert.NilError(t, err)
 	signer, signature, err := Sign(private, "digest")
@@ -64,13 +64,13 @@
 	assert.ErrorContains(t, err, "32 bytes")
 }
 
-func TestPatienceIsTheShortestOfAClassAndThoseAbove(t *testing.T) {
+func TestPatienceIsShortestOfClassAndHigherPriorities(t *testing.T) {
 	b := sample(1, "")
 	assert.Equal(t, b.Patience(b.Classes["c"]), 100*time.Millisecond)
 	assert.Equal(t, b.Patience(b.Classes["high"]), 100*time.Millisecond)
 }
 
-func TestTheExampleIsSound(t *testing.T) {
+func TestExampleIsValid(t *testing.T) {
 	b := &Bundle{}
 	assert.NilError(t, config.Load("../../examples/bundle.yaml", b))
 }
--- a/internal/bundle/signature.go
+++ b/internal/bundle/signature.go
@@ -8,11 +8,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// signingContext keeps a signature over a bundle from being taken for one over
-// anything else.
+// signingContext prevents a signature over a bundle from being valid for other data.
 const signingContext = "quinceridge bundle v1\x00"
 
-// GenerateKey returns a new operator's key pair, both halves in hex.
+// GenerateKey returns a new key pair for an operator, in hexadecimal.
 func GenerateKey() (public, private string, err error) {
 	pub, priv, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -21,8 +20,8 @@
 	return hex.EncodeToString(pub), hex.EncodeToString(priv.Seed()), nil
 }
 
-// Sign signs a bundle digest with a private key in hex. It returns the public
-// key and the signature, both in hex.
+// Sign signs a bundle digest with a hexadecimal private key. It returns the public key and the
+// signature in hexadecimal.
 func Sign(private, digest string) (public, signature string, err error) {
 	seed, err := hex.DecodeString(private)
 	if err != nil || len(seed) != ed25519.SeedSize {
@@ -33,7 +32,7 @@
 	return hex.EncodeToString(key.Public().(ed25519.PublicKey)), hex.EncodeToString(signed), nil
 }
 
-// Verify tells whether the signature over the digest was made by the key.
+// Verify reports whether the signature over the digest was made with the key.
 func Verify(public, digest, signature string) bool {
 	key, err := hex.DecodeString(public)
 	if err != nil || len(key) != ed25519.PublicKeySize {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,5 @@
-// Package config reads YAML files into typed structs. It reports every
-// unknown field, wrong type and failed check of a file together, each with its
-// line and column.
+// Package config reads YAML files into typed structs. It reports all unknown fields, wrong types
+// and failed validations of a file at once, each with its line and column.
 package config
 
 import (
@@ -20,27 +19,26 @@
 	"quinceridge.example/quinceridge/internal/finding"
 )
 
-// MaxFileBytes bounds a configuration file. A larger one is refused unread.
+// MaxFileBytes is the maximum size of a configuration file.
 const MaxFileBytes = 8 << 20
 
-// Checker is implemented by a configuration that has checks across fields.
-// Each problem is named by the YAML path of the field at fault.
+// Checker is implemented by configurations with checks across fields.
 type Checker interface {
 	Check() []Problem
 }
 
-// Problem is a failed check, without a place yet.
+// Problem is a failed check of a field.
 type Problem struct {
-	// Path is the YAML path, such as $.tenants[2].name.
+	// Path is the YAML path of the field, such as $.tenants[2].name.
 	Path string
-	// Message says what is wrong.
+	// Message describes the problem.
 	Message string
 }
 
 var validate = newValidator()
 
-// mapKeys matches the map keys of a validator's path, such as models[small].
-// List indexes are numbers and stay as they are.
+// mapKeys matches the map keys in a path of the validator, such as models[small], but not list
+// indexes.
 var mapKeys = regexp.MustCompile(`\[([^\]0-9][^\]]*)\]`)
 
 func newValidator() *validator.Validate {
@@ -54,8 +52,8 @@
 	return name
 }
 
-// Load reads and checks the file at path into target, a pointer to a struct.
-// It returns a finding.List when the content is at fault.
+// Load reads the file at path into target, a pointer to a struct, and validates it. Invalid
+// content results in a finding.List.
 func Load(path string, target any) error {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -71,8 +69,8 @@
 	return Decode(path, data, target)
 }
 
-// Decode reads and checks data into target, a pointer to a struct. The file
-// name serves for findings only.
+// Decode decodes data into target, a pointer to a struct, and validates it. The file name is
+// used only in findings. Invalid content results in a finding.List.
 func Decode(file string, data []byte, target any) error {
 	tree, err := parser.ParseBytes(data, 0)
 	if err != nil {
@@ -82,27 +80,27 @@
 		return finding.List{{File: file, Line: 1, Column: 1, Message: "expected one YAML document with a mapping"}}
 	}
 	body := tree.Docs[0].Body
-	places := map[string]place{}
+	positions := map[string]position{}
 	var findings finding.List
-	index(body, "$", places)
-	unknown(file, body, reflect.TypeOf(target).Elem(), "$", &findings)
+	indexPositions(body, "$", positions)
+	reportUnknown(file, body, reflect.TypeOf(target).Elem(), "$", &findings)
 	if err := yaml.NodeToValue(body, target); err != nil {
 		findings = append(findings, fromYAML(file, err))
 		return findings.Err()
 	}
-	for _, p := range problems(target) {
-		findings = append(findings, located(file, p, places))
+	for _, p := range validateTarget(target) {
+		findings = append(findings, locate(file, p, positions))
 	}
 	return findings.Err()
 }
 
-func problems(target any) []Problem {
+func validateTarget(target any) []Problem {
 	var out []Problem
 	var failures validator.ValidationErrors
 	if errors.As(validate.Struct(target), &failures) {
 		for _, f := range failures {
 			_, path, _ := strings.Cut(f.Namespace(), ".")
-			out = append(out, Problem{Path: "$." + mapKeys.ReplaceAllString(path, ".$1"), Message: rule(f)})
+			out = append(out, Problem{Path: "$." + mapKeys.ReplaceAllString(path, ".$1"), Message: ruleMessage(f)})
 		}
 	}
 	if c, ok := target.(Checker); ok {
@@ -111,7 +109,7 @@
 	return out
 }
 
-func rule(f validator.FieldError) string {
+func ruleMessage(f validator.FieldError) string {
 	switch f.Tag() {
 	case "required":
 		return "is required"
@@ -124,21 +122,21 @@
 	case "gt":
 		return "must be more than " + f.Param()
 	case "hostname_port", "tcp_addr", "ip":
-		return "must be an IP number with a port, such as 127.0.0.1:8080"
+		return "must be an IP address with a port, such as 127.0.0.1:8080"
 	case "unique":
 		return "must not repeat " + f.Param()
 	}
-	return "fails the check " + f.Tag() + " " + f.Param()
+	return "fails the validation rule " + f.Tag() + " " + f.Param()
 }
 
-type place struct{ line, column int }
+type position struct{ line, column int }
 
-// located gives a problem the place of its field, or of the nearest parent
-// that stands in the file.
-func located(file string, p Problem, places map[string]place) finding.Finding {
+// locate returns a problem with the position of its field, or of the nearest parent that the
+// file contains.
+func locate(file string, p Problem, positions map[string]position) finding.Finding {
 	path := p.Path
 	for {
-		if at, ok := places[path]; ok {
+		if at, ok := positions[path]; ok {
 			return finding.Finding{File: file, Line: at.line, Column: at.column, Field: p.Path, Message: p.Message}
 		}
 		cut := strings.LastIndexAny(path, ".[")
@@ -161,17 +159,17 @@
 	return out
 }
 
-func index(node ast.Node, path string, places map[string]place) {
+func indexPositions(node ast.Node, path string, positions map[string]position) {
 	if t := node.GetToken(); t != nil && t.Position != nil {
-		if _, ok := places[path]; !ok {
-			places[path] = place{line: t.Position.Line, column: t.Position.Column}
+		if _, ok := positions[path]; !ok {
+			positions[path] = position{line: t.Position.Line, column: t.Position.Column}
 		}
 	}
 	for _, child := range children(node, path) {
 		if t := child.key; t != nil {
-			places[child.path] = place{line: t.GetToken().Position.Line, column: t.GetToken().Position.Column}
+			positions[child.path] = position{line: t.GetToken().Position.Line, column: t.GetToken().Position.Column}
 		}
-		index(child.node, child.path, places)
+		indexPositions(child.node, child.path, positions)
 	}
 }
 
@@ -206,19 +204,19 @@
 
 var durationType = reflect.TypeOf(time.Duration(0))
 
-// unknown reports each mapping key that the type has no field for.
-func unknown(file string, node ast.Node, t reflect.Type, path string, findings *finding.List) {
+// reportUnknown adds a finding for each mapping key that the type has no field for.
+func reportUnknown(file string, node ast.Node, t reflect.Type, path string, findings *finding.List) {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
 	switch t.Kind() {
 	case reflect.Slice:
 		for _, c := range children(node, path) {
-			unknown(file, c.node, t.Elem(), c.path, findings)
+			reportUnknown(file, c.node, t.Elem(), c.path, findings)
 		}
 	case reflect.Map:
 		for _, c := range children(node, path) {
-			unknown(file, c.node, t.Elem(), c.path, findings)
+			reportUnknown(file, c.node, t.Elem(), c.path, findings)
 		}
 	case reflect.Struct:
 		if t == durationType || t == reflect.TypeOf(time.Time{}) {
@@ -238,7 +236,7 @@
 					Message: "unknown field; known here: " + strings.Join(namesOf(t), ", ")})
 				continue
 			}
-			unknown(file, c.node, field, c.path, findings)
+			reportUnknown(file, c.node, field, c.path, findings)
 		}
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 	"quinceridge.example/quinceridge/internal/settings"
 )
 
-const soundControl = `id: 1
+const validControl = `id: 1
 region: r
 zone: z
 listen: 127.0.0.1:7000
@@ -24,8 +24,8 @@
   - {id: 1, address: "127.0.0.1:7000"}
 `
 
-func TestAllFindingsComeTogetherWithTheirPlaces(t *testing.T) {
-	text := strings.Replace(soundControl, "zone: z", "zone: z\nzune: x", 1)
+func TestDecodeReportsAllFindingsWithPositions(t *testing.T) {
+	text := strings.Replace(validControl, "zone: z", "zone: z\nzune: x", 1)
 	text = strings.Replace(text, "127.0.0.1:7001", "nowhere", 1)
 	text = strings.Replace(text, "id: 1\nregion", "id: 7\nregion", 1)
 	var s settings.Control
@@ -35,18 +35,18 @@
 	assert.Equal(t, len(findings), 3, "%v", err)
 	assert.ErrorContains(t, err, "control.yaml:1:1: $.id: is not among the peers")
 	assert.ErrorContains(t, err, "control.yaml:4:1: $.zune: unknown field")
-	assert.ErrorContains(t, err, "control.yaml:6:1: $.status: must be an IP number with a port")
+	assert.ErrorContains(t, err, "control.yaml:6:1: $.status: must be an IP address with a port")
 }
 
-func TestSoundSettingsGetTheirDefaults(t *testing.T) {
+func TestSetDefaultsFillsMissingFields(t *testing.T) {
 	var s settings.Control
-	assert.NilError(t, config.Decode("control.yaml", []byte(soundControl), &s))
+	assert.NilError(t, config.Decode("control.yaml", []byte(validControl), &s))
 	s.SetDefaults()
 	assert.Equal(t, s.RouterLease.String(), "3s")
 	assert.Equal(t, s.Tick.String(), "50ms")
 }
 
-func TestBrokenYAMLHasAPlace(t *testing.T) {
+func TestDecodeReportsPositionOfSyntaxError(t *testing.T) {
 	var s settings.Control
 	err := config.Decode("control.yaml", []byte("id: 1\nzone: [\n"), &s)
 	assert.ErrorContains(t, err, "control.yaml:2:")
@@ -54,9 +54,8 @@
 	assert.ErrorContains(t, config.Decode("x.yaml", []byte("id: abc\n"), &s), "x.yaml:1:")
 }
 
-// A list where a mapping belongs ended the process that read it: the look for unknown fields
-// took its entries for fields and asked for their names.
-func TestAListInPlaceOfAMappingIsAFindingWithItsPlace(t *testing.T) {
+// A list in place of a mapping used to cause a panic in the search for unknown fields.
+func TestDecodeRejectsListInsteadOfMapping(t *testing.T) {
 	for _, text := range []string{"-", "- a", "\n- id: 1", "log:\n- level"} {
 		var control settings.Control
 		err := config.Decode("f", []byte(text), &control)
@@ -67,7 +66,7 @@
 }
 
 func FuzzSettings(f *testing.F) {
-	f.Add([]byte(soundControl))
+	f.Add([]byte(validControl))
 	f.Add([]byte("id: [1"))
 	f.Add([]byte("a: &a [*a]"))
 	f.Add([]byte("? {x: y}\n: z"))
