--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment describes the two deployments of today that the rehearsal
-// kit runs: their zones, machines, tenants and kinds of traffic.
+// Package deployment describes the two existing deployments that rehearsals run: their zones,
+// machines, tenants and kinds of requests.
 package deployment
 
 import (
@@ -9,32 +9,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind is one kind of request.
+// Kind is a kind of request.
 type Kind struct {
 	Name  string
 	Class string
-	// Share is the kind's part of the generation requests, or of the
-	// application calls.
+	// Share is the kind's fraction of the generation requests or of the application calls.
 	Share float64
-	// Documents is how many shared texts exist, such as catalog sections, and
-	// DocumentTokens the length of each.
+	// Documents is the number of shared texts, such as catalog sections, and DocumentTokens the
+	// length of each.
 	Documents      int
 	DocumentTokens int
-	// ContextTokens and QuestionTokens follow the document: the tenant's own
-	// context, and what is asked.
+	// ContextTokens is the length of the tenant's own context, which follows the document, and
+	// QuestionTokens that of the question after it.
 	ContextTokens  int
 	QuestionTokens int
 	OutputTokens   int
 	// Route is set for application calls.
 	Route string
-	// Retryable says that a second run of an application call does no harm.
+	// Retryable reports whether an application call may run more than once.
 	Retryable bool
 }
 
-// Tenant is one customer.
+// Tenant is a customer of the deployment.
 type Tenant struct {
 	Name string
-	// Share is the tenant's part of the traffic.
+	// Share is the tenant's fraction of the traffic.
 	Share float64
 }
 
@@ -45,7 +44,7 @@
 	FirstToken time.Duration
 }
 
-// Deployment is one deployment.
+// Deployment describes a deployment.
 type Deployment struct {
 	Name    string
 	Region  string
@@ -59,18 +58,18 @@
 	// Generation and Application list the kinds of requests.
 	Generation  []Kind
 	Application []Kind
-	// Rate is the steady rate of generation requests a second for each engine;
-	// ApplicationRate that of application calls for each worker.
+	// Rate is the steady rate of generation requests per second and engine, and ApplicationRate
+	// that of application calls per second and worker.
 	Rate            float64
 	ApplicationRate float64
-	// Surge multiplies the rates during an event.
+	// Surge is the factor for the rates during an event.
 	Surge float64
 }
 
-// Names lists the known deployments.
+// Names returns the names of the deployments.
 func Names() []string { return []string{"grocery", "pago"} }
 
-// Find returns a deployment by its name.
+// Find returns a deployment by name.
 func Find(name string) (Deployment, error) {
 	switch name {
 	case "grocery":
@@ -78,7 +77,7 @@
 	case "pago":
 		return pago(), nil
 	}
-	return Deployment{}, errors.Newf("no such deployment: %q; known: %v", name, Names())
+	return Deployment{}, errors.Newf("unknown deployment %q; known are %v", name, Names())
 }
 
 func grocery() Deployment {
@@ -124,7 +123,7 @@
 	}
 }
 
-// tenants returns n tenants of unequal size, a few of them large.
+// tenants returns n tenants whose shares follow a Zipf distribution.
 func tenants(prefix string, n int) []Tenant {
 	out := make([]Tenant, n)
 	total := 0.0
@@ -142,8 +141,8 @@
 // Key returns the API key of a tenant in rehearsals.
 func Key(tenant string) string { return "rehearsal-key-of-" + tenant }
 
-// Scale returns the deployment with other numbers of engines, routers and
-// tenants, at the same rate for each engine.
+// Scale returns the deployment with other numbers of engines, routers and tenants, at the same
+// rate per engine. A number of 0 or less keeps the present one.
 func (d Deployment) Scale(engines, routers, tenantCount int) Deployment {
 	if engines > 0 {
 		d.Engines = engines
@@ -157,7 +156,7 @@
 	return d
 }
 
-// Zone returns the zone of the machine with the given number.
+// Zone returns the zone of a machine by its number.
 func (d Deployment) Zone(number int) string { return d.Zones[number%len(d.Zones)] }
 
 // Class returns a class by name.
@@ -170,8 +169,8 @@
 	return Class{}
 }
 
-// Patience is the shortest FirstToken among a class and those above it. Work
-// that waits longer would hold up others that may not.
+// Patience returns the maximum wait of a class: the shortest FirstToken among it and the classes
+// of equal or higher priority, which a longer wait would delay.
 func (d Deployment) Patience(class Class) time.Duration {
 	patience := class.FirstToken
 	for _, other := range d.Classes {
--- a/internal/engineapi/engineapi.go
+++ b/internal/engineapi/engineapi.go
@@ -1,6 +1,6 @@
-// Package engineapi is the published protocol of the inference engines: an
-// OpenAI-style completion API with fencing headers, a status call, cache events
-// and fenced orders. The router speaks it; the stand-in engine serves it.
+// Package engineapi defines the protocol of the inference engines: an OpenAI-style completion
+// API with fencing headers, a status call, cache events and fenced orders. The router is its
+// client, and the fake engine of the rehearsals implements it.
 package engineapi
 
 import (
@@ -23,36 +23,35 @@
 
 // Headers of a completion request.
 const (
-	// HeaderRequestID names the request. An engine that holds a request of the
-	// same name resumes it in place of starting another.
+	// HeaderRequestID identifies the request. An engine that has a request with this ID resumes
+	// it instead of starting another.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderIncarnation is the engine incarnation that the caller means.
+	// HeaderIncarnation is the engine incarnation that the request is meant for.
 	HeaderIncarnation = "Engine-Incarnation"
 	// HeaderTenant is the tenant whose cache entries may be used.
 	HeaderTenant = "Cache-Tenant"
 	// HeaderShared is "name;bytes" of a declared shared prompt.
 	HeaderShared = "Cache-Shared"
-	// HeaderMinimumWeights is the least weights version that may answer.
+	// HeaderMinimumWeights is the minimum weights version that may answer.
 	HeaderMinimumWeights = "Weights-Version-Min"
-	// HeaderPriority orders waiting requests, larger first.
+	// HeaderPriority orders queued requests, higher first.
 	HeaderPriority = "Request-Priority"
-	// HeaderResumeIndex is the index of the first token wanted.
+	// HeaderResumeIndex is the index of the first token to send.
 	HeaderResumeIndex = "Resume-Index"
-	// HeaderResumeOnly makes the engine refuse when it does not hold the
-	// request any more.
+	// HeaderResumeOnly makes the engine reject the request unless it can resume it.
 	HeaderResumeOnly = "Resume-Only"
-	// HeaderWeightsVersion is the weights version that answers, in responses.
+	// HeaderWeightsVersion is the weights version of a response.
 	HeaderWeightsVersion = "Weights-Version"
 )
 
 // Done is the data of the event that ends a stream.
 const Done = "[DONE]"
 
-// ErrorKind is the machine-readable type of an engine's refusal. Each refusal
-// says that the request was not run.
+// ErrorKind is the machine-readable reason for which an engine rejected a request, which it did
+// not run.
 type ErrorKind string
 
-// The refusals of an engine.
+// Reasons of rejections.
 const (
 	KindIncarnation ErrorKind = "incarnation_mismatch"
 	KindWeights     ErrorKind = "weights_too_old"
@@ -64,38 +63,38 @@
 	KindInvalid     ErrorKind = "invalid_request"
 )
 
-// ErrorBody is the body of an error response, in the shape of the OpenAI API.
+// ErrorBody is the body of an error response, as in the OpenAI API.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what went wrong.
+// ErrorDetail describes an error.
 type ErrorDetail struct {
 	Message string    `json:"message"`
 	Type    ErrorKind `json:"type"`
 	Code    string    `json:"code,omitempty"`
 }
 
-// Message is one message of a chat.
+// Message is a message of a chat.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// CompletionRequest is the part of a request body that routing reads. Fields
-// that are not listed pass through untouched.
+// CompletionRequest contains the fields of a request body that routing uses. All other fields
+// are forwarded unchanged.
 type CompletionRequest struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt,omitempty"`
 	Messages  []Message `json:"messages,omitempty"`
 	MaxTokens int       `json:"max_tokens,omitempty"`
 	Stream    bool      `json:"stream,omitempty"`
-	// Continuation is text that was already generated for this prompt. The
-	// engine goes on after it, from the index in HeaderResumeIndex.
+	// Continuation is text that was already generated for this prompt. The engine continues
+	// after it, from the index in HeaderResumeIndex.
 	Continuation string `json:"continuation,omitempty"`
 }
 
-// Text returns the prompt as the one text that caching works on.
+// Text returns the prompt as a single text, as used for caching.
 func (r *CompletionRequest) Text() []byte {
 	if len(r.Messages) == 0 {
 		return []byte(r.Prompt)
@@ -108,7 +107,7 @@
 	return []byte(text.String())
 }
 
-// Chunk is the data of one event of a stream.
+// Chunk is the data of a stream event.
 type Chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -117,7 +116,7 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Choice is one alternative of an answer. There is always exactly one.
+// Choice is an alternative of an answer. There is always exactly one.
 type Choice struct {
 	Index        int      `json:"index"`
 	Text         string   `json:"text,omitempty"`
@@ -126,7 +125,7 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// Content returns the text of a choice, whichever API it belongs to.
+// Content returns the text of a choice, for any of the APIs.
 func (c *Choice) Content() string {
 	switch {
 	case c.Delta != nil:
@@ -145,12 +144,12 @@
 	Details          UsageDetails `json:"prompt_tokens_details"`
 }
 
-// UsageDetails says how much of the prompt was cached.
+// UsageDetails reports how much of the prompt was cached.
 type UsageDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// Status is an engine's own account of itself. It lags behind the truth.
+// Status is the state that an engine reports. It may be out of date.
 type Status struct {
 	ID             string `json:"id"`
 	Incarnation    string `json:"incarnation"`
@@ -163,16 +162,16 @@
 	DecodeSlots    int    `json:"decode_slots"`
 }
 
-// Fence orders commands: an engine refuses any that is not above the highest
-// it has seen.
+// Fence orders commands: an engine rejects a command whose fence is not above the highest so
+// far.
 type Fence struct {
-	// Term is the consensus term of the leader that gives the order.
+	// Term is the Raft term of the leader that gives the order.
 	Term uint64 `json:"term"`
 	// Sequence is the log index of the order.
 	Sequence uint64 `json:"sequence"`
 }
 
-// Less tells whether f is below other.
+// Less reports whether f is below other.
 func (f Fence) Less(other Fence) bool {
 	if f.Term != other.Term {
 		return f.Term < other.Term
@@ -180,10 +179,10 @@
 	return f.Sequence < other.Sequence
 }
 
-// OrderKind names an order.
+// OrderKind is a kind of order.
 type OrderKind string
 
-// The orders that an engine takes.
+// Kinds of orders.
 const (
 	OrderLoad    OrderKind = "load"
 	OrderDrain   OrderKind = "drain"
@@ -195,25 +194,25 @@
 type Order struct {
 	Fence Fence     `json:"fence"`
 	Kind  OrderKind `json:"kind"`
-	// Incarnation is the incarnation that the order is meant for.
+	// Incarnation is the engine incarnation that the order is meant for.
 	Incarnation string `json:"incarnation"`
-	// Model and WeightsVersion belong to a load order.
+	// Model and WeightsVersion are set in a load order.
 	Model          string `json:"model,omitempty"`
 	WeightsVersion int    `json:"weights_version,omitempty"`
-	// Prompt, Tenant and Shared belong to a prewarm order.
+	// Prompt, Tenant and Shared are set in a prewarm order.
 	Prompt string `json:"prompt,omitempty"`
 	Tenant string `json:"tenant,omitempty"`
 	Shared string `json:"shared,omitempty"`
 }
 
-// OrderReply says what became of an order.
+// OrderReply is the reply to an order.
 type OrderReply struct {
 	Accepted bool `json:"accepted"`
-	// Highest is the highest fence that the engine has seen.
+	// Highest is the highest fence that the engine has received.
 	Highest Fence `json:"highest"`
 }
 
-// FormatShared writes the value of HeaderShared.
+// FormatShared formats the value of HeaderShared.
 func FormatShared(name string, bytes int) string {
 	if name == "" {
 		return ""
@@ -221,7 +220,7 @@
 	return name + ";" + strconv.Itoa(bytes)
 }
 
-// ParseShared reads the value of HeaderShared.
+// ParseShared parses the value of HeaderShared.
 func ParseShared(value string) (name string, bytes int, err error) {
 	if value == "" {
 		return "", 0, nil
@@ -229,36 +228,36 @@
 	name, number, found := strings.Cut(value, ";")
 	bytes, err = strconv.Atoi(number)
 	if !found || err != nil || bytes < 0 {
-		return "", 0, errors.Newf("%s is not name;bytes", HeaderShared)
+		return "", 0, errors.Newf("%s must have the form name;bytes", HeaderShared)
 	}
 	return name, bytes, nil
 }
 
-// DecodeError reads an error response body. Foreign bodies give a detail with
-// an empty type.
+// DecodeError decodes the body of an error response. A body in another format results in a
+// detail with an empty type.
 func DecodeError(body []byte) ErrorDetail {
 	var decoded ErrorBody
 	if err := json.Unmarshal(body, &decoded); err != nil {
-		return ErrorDetail{Message: "unreadable error body"}
+		return ErrorDetail{Message: "error body could not be decoded"}
 	}
 	return decoded.Error
 }
 
-// CacheEvent says that a block entered or left an engine's cache.
+// CacheEvent reports that a block was added to or evicted from an engine's cache.
 type CacheEvent struct {
-	// Block is the digest of the chain that ends in the block.
+	// Block is the digest of the chain of blocks that ends with this one.
 	Block uint64 `json:"block"`
-	// Depth is the block's place in its chain, from 1.
+	// Depth is the block's position in its chain, from 1.
 	Depth int `json:"depth"`
-	// Stored is true when the block entered and false when it was evicted.
+	// Stored is true if the block was added, and false if it was evicted.
 	Stored bool `json:"stored"`
 }
 
-// CachePage is a page of the cache events after a number that the asker names.
+// CachePage is a page of cache events that follow a requested number.
 type CachePage struct {
 	Incarnation string `json:"incarnation"`
-	// First is the number of the first event of the page, from 1. A gap to the
-	// number that was asked for says that events were lost.
+	// First is the number of the page's first event, from 1. A gap after the requested number
+	// means that events were lost.
 	First  uint64       `json:"first"`
 	Events []CacheEvent `json:"events"`
 }
--- a/internal/vocabulary/vocabulary.go
+++ b/internal/vocabulary/vocabulary.go
@@ -1,67 +1,64 @@
-// Package vocabulary names the HTTP headers by which a deployment tells and is
-// told things about a request. A router works with any vocabulary; Default is
-// the product's own.
+// Package vocabulary defines the names of the HTTP headers that callers, routers and back ends
+// exchange. A deployment may use names of its own; Default returns the product's.
 package vocabulary
 
 import "net/http"
 
 // Headers are header names in canonical form.
 type Headers struct {
-	// RequestID identifies one attempt of a caller. Back ends carry it back.
+	// RequestID identifies an attempt of a caller. Back ends return it.
 	RequestID string
-	// Deadline is the time that is left, in milliseconds.
+	// Deadline is the remaining time in milliseconds.
 	Deadline string
-	// Instance is the ID of the start of a back end that a request is meant
-	// for; InstanceIs is how a back end tells its own.
+	// Instance is the ID of the start of a back end that a request is meant for, and
+	// ResponseInstance that of the one that responds.
 	Instance         string
 	ResponseInstance string
-	// Tenant is the name of the tenant that holds the caller's key.
+	// Tenant is the name of the tenant that the caller's key belongs to.
 	Tenant string
-	// Signature is a back end's signature over its answer.
+	// Signature is a back end's signature over its response.
 	Signature string
-	// NotRun on an answer says that the back end did not run the request.
+	// NotRun in a response means that the back end did not run the request.
 	NotRun string
-	// Draining on an answer says that the back end is about to end and wants no new work.
+	// Draining in a response means that the back end is about to stop and accepts no new work.
 	Draining string
-	// Limit on an answer is how many requests a second, a decimal number, the back end takes
-	// from all machines together. An answer without it says that there is no limit.
+	// Limit in a response is the number of requests per second, a decimal number, that the back
+	// end accepts from all machines together. There is no limit if it is missing.
 	Limit string
-	// LastEvent is the ID of the last event that the caller has.
+	// LastEvent is the ID of the last event that the caller received.
 	LastEvent string
-	// Model, Usage ("prompt,most" in tokens) and Prefix ("id:tokens,...")
-	// describe a generation.
+	// Model, Usage ("prompt,most" in tokens) and Prefix ("id:tokens,...") describe a generation.
 	Model  string
 	Usage  string
 	Prefix string
-	// Priority is 0 for the most urgent to 9.
+	// Priority is 0 to 9, 0 being the most urgent.
 	Priority string
-	// Version is the weights version that a request is meant for; VersionIs is
-	// how an answer tells the version it was made with.
+	// Version is the weights version that a request is meant for, and ResponseVersion the one
+	// that a response was generated with.
 	Version         string
 	ResponseVersion string
-	// Salt separates kept prompts; FetchFrom and SaveTo name where an engine
-	// takes kept prompts from and sends them to.
+	// Salt separates cached prompts. FetchFrom and SaveTo are the addresses that an engine
+	// fetches cached prompts from and saves them to.
 	Salt      string
 	FetchFrom string
 	SaveTo    string
-	// Forbidden are further headers that callers may not set: they are dropped.
+	// Forbidden are further headers that are removed from callers' requests.
 	Forbidden []string
 }
 
-// Reserved are the headers that only a router sets. What a caller sends there is
-// dropped.
+// Reserved returns the headers that only routers set. They are removed from callers' requests.
 func (h *Headers) Reserved() []string {
 	return []string{h.Instance, h.Tenant, h.Priority, h.Version, h.Salt, h.FetchFrom, h.SaveTo}
 }
 
-// IsFrom tells whether an answer is of the start of a back end that its request named as
-// instance. Another one at the address says 421, and says nothing of the start that was
-// meant: what it asks for would hold for its successor or the one before.
+// IsFrom reports whether a response is from the start of a back end that the request was
+// addressed to as instance. Another start at the same address responds with status 421, and the
+// other headers of that response do not apply to the intended one.
 func (h *Headers) IsFrom(instance string, answer *http.Response) bool {
 	return answer.StatusCode != http.StatusMisdirectedRequest || answer.Header.Get(h.ResponseInstance) == instance
 }
 
-// Default is the product's own vocabulary.
+// Default returns the product's own header names.
 func Default() Headers {
 	return Headers{
 		RequestID:        "X-Request-Id",
