--- a/internal/finding/finding.go
+++ b/internal/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects the problems of an input together with their
-// places, so that a person sees all of them at once.
+// Package finding collects problems of an input with their positions, so that users see all of
+// them at once.
 package finding
 
 import (
@@ -8,16 +8,16 @@
 	"strings"
 )
 
-// Finding is one problem at one place of an input.
+// Finding is a problem at a position in an input.
 type Finding struct {
-	// File names the input, as the user gave it.
+	// File is the name of the input, as given by the user.
 	File string `json:"file"`
-	// Line and Column count from 1. Zero means that the place is not known.
+	// Line and Column count from 1. 0 means unknown.
 	Line   int `json:"line"`
 	Column int `json:"column"`
-	// Field is the YAML path of the field, such as $.listen. It may be empty.
+	// Field is the YAML path of the field, such as $.listen, or empty.
 	Field string `json:"field,omitempty"`
-	// Message says what is wrong and what would be right.
+	// Message describes the problem and what is expected instead.
 	Message string `json:"message"`
 }
 
@@ -33,10 +33,10 @@
 	return fmt.Sprintf("%s: %s: %s", place, f.Field, f.Message)
 }
 
-// List is a set of findings. A List with members is an error.
+// List is a list of findings, which is an error if not empty.
 type List []Finding
 
-// Error joins all findings, one a line.
+// Error returns all findings, one per line.
 func (l List) Error() string {
 	lines := make([]string, 0, len(l))
 	for _, f := range l {
@@ -59,7 +59,7 @@
 	})
 }
 
-// Err returns the list as an error, or nil where it is empty.
+// Err returns the sorted list as an error, or nil if it is empty.
 func (l List) Err() error {
 	if len(l) == 0 {
 		return nil
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,5 +1,4 @@
-// Package loopback finds addresses for the processes that tests and the rehearsal kit
-// start on this machine.
+// Package loopback finds free local addresses for the processes of tests and rehearsals.
 package loopback
 
 import (
@@ -10,8 +9,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// FreeAddress returns an address to listen on later. It has an IP number of its own: a
-// connection from 127.0.0.1 that somebody opens meanwhile may get any port there.
+// FreeAddress returns an address to listen on later. It uses a random loopback IP address, since
+// the ephemeral port of an outgoing connection from 127.0.0.1 could take the port in the
+// meantime.
 func FreeAddress() (string, error) {
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250)))
 	if err != nil {
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAFreeAddressCanBeListenedOn(t *testing.T) {
+func TestFreeAddressCanBeListenedOn(t *testing.T) {
 	address, err := FreeAddress()
 	assert.NilError(t, err)
 	listener, err := net.Listen("tcp", address)
--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -1,4 +1,4 @@
-// Package periodic runs work at even intervals, and waits between two tries.
+// Package periodic runs functions at regular intervals.
 package periodic
 
 import (
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// Run calls work each time the interval is over, until the context ends. The
-// first call comes after one interval. Work that takes longer than an interval
-// delays the next call; calls never overlap.
+// Run calls work at every interval until the context ends, first after one interval. Calls never
+// overlap: slow work delays the next call.
 func Run(ctx context.Context, interval time.Duration, work func(context.Context)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -22,7 +21,7 @@
 	}
 }
 
-// Sleep waits, or until the context ends.
+// Sleep waits for a duration or until the context ends.
 func Sleep(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/periodic/periodic_test.go
+++ b/internal/periodic/periodic_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestWorkRunsOnceAnIntervalUntilTheContextEnds(t *testing.T) {
+func TestRunCallsWorkOncePerIntervalUntilContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), 3500*time.Millisecond)
 		defer cancel()
--- a/internal/platformapi/platformapi.go
+++ b/internal/platformapi/platformapi.go
@@ -1,12 +1,12 @@
-// Package platformapi is the published protocol of the platform's list of
-// machines. The list lags behind the truth.
+// Package platformapi defines the protocol of the platform's list of machines, which may be out
+// of date.
 package platformapi
 
-// PathMachines serves the list with GET. The stand-in takes changes of single
-// machines there with POST.
+// PathMachines is the path of the list. GET returns it; on POST the fake platform of rehearsals
+// accepts changes of single machines.
 const PathMachines = "/machines"
 
-// Machine is one listed machine.
+// Machine is an entry of the list.
 type Machine struct {
 	ID string `json:"id"`
 	// Role is engine or application.
@@ -16,11 +16,11 @@
 	Zone    string `json:"zone"`
 	// Leaving machines will stop soon.
 	Leaving bool `json:"leaving,omitempty"`
-	// Gone removes the machine. It stands in changes only.
+	// Gone removes the machine. It is set only in changes.
 	Gone bool `json:"gone,omitempty"`
 }
 
-// List is the answer to GET.
+// List is the response to GET.
 type List struct {
 	Machines []Machine `json:"machines"`
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,4 +1,4 @@
-// Package process runs programs for the rehearsal kit.
+// Package process runs the programs of rehearsals.
 package process
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Process is one program that is started and ended again. Its output goes to
+// Process is a program that can be started and stopped repeatedly. Its output goes to the file
 // NAME.log in Folder.
 type Process struct {
 	Name   string
@@ -27,7 +27,7 @@
 	exited  chan struct{}
 }
 
-// Start runs the program. The output of an earlier run is kept.
+// Start starts the program. The output of earlier runs is kept.
 func (p *Process) Start() error {
 	log, err := os.OpenFile(filepath.Join(p.Folder, p.Name+".log"), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
 	if err != nil {
@@ -36,7 +36,7 @@
 	defer log.Close()
 	command := exec.Command(p.Binary, p.Args...)
 	command.Stdout, command.Stderr = log, log
-	// A process that outlives its launcher would hold its addresses.
+	// The process must not outlive its parent, since it would keep its addresses in use.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		return errors.Wrapf(err, "start %s", p.Name)
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// ID returns the number of the running program, 0 before the first start.
+// ID returns the process ID, 0 before the first start.
 func (p *Process) ID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,7 +62,7 @@
 	return p.command.Process.Pid
 }
 
-// Signal sends a signal to the running program.
+// Signal sends a signal to the program.
 func (p *Process) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,7 +71,7 @@
 	}
 }
 
-// Wait waits for the program's end.
+// Wait waits until the program exits, and returns false if it does not within limit.
 func (p *Process) Wait(limit time.Duration) bool {
 	p.mu.Lock()
 	exited := p.exited
@@ -87,13 +87,14 @@
 	}
 }
 
-// Kill ends the program without notice.
+// Kill kills the program and waits until it exits.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
-	p.Wait(killLimit)
+	p.Wait(killTimeout)
 }
 
-// Terminate asks the program to stop, and kills it when it does not.
+// Terminate sends SIGTERM, and kills the program if it does not exit within limit. It returns
+// false in that case.
 func (p *Process) Terminate(limit time.Duration) bool {
 	p.Signal(syscall.SIGTERM)
 	if p.Wait(limit) {
@@ -104,11 +105,11 @@
 }
 
 const (
-	killLimit = 5 * time.Second
-	askPause  = 50 * time.Millisecond
+	killTimeout  = 5 * time.Second
+	pollInterval = 50 * time.Millisecond
 )
 
-// AwaitHTTP asks a URL until it answers 200 or the context ends.
+// AwaitHTTP polls a URL until it responds with status 200 or the context ends.
 func AwaitHTTP(ctx context.Context, url string) error {
 	client := &http.Client{Timeout: time.Second}
 	for {
@@ -122,7 +123,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.Wrapf(ctx.Err(), "wait for %s", url)
-		case <-time.After(askPause):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket sets what the standard library leaves to the system.
+// Package socket sets socket options that the standard library does not support.
 package socket
 
 import (
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// tcpUserTimeout is the number of TCP_USER_TIMEOUT on Linux.
+// tcpUserTimeout is the value of TCP_USER_TIMEOUT on Linux.
 const tcpUserTimeout = 0x12
 
-// UserTimeout returns a control function for net.Dialer and net.ListenConfig:
-// a connection ends when what was sent is not acknowledged for that long. A
-// peer without power says nothing, and the system would wait for minutes.
+// UserTimeout returns a control function for net.Dialer and net.ListenConfig that closes a
+// connection whose data stays unacknowledged for limit. By default the system waits for minutes,
+// for example if the peer lost power.
 func UserTimeout(limit time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var failure error
--- a/internal/telemetry/buffer.go
+++ b/internal/telemetry/buffer.go
@@ -7,58 +7,57 @@
 )
 
 const (
-	// bufferLimit bounds the log that waits to be written. Lines beyond it are
-	// dropped and counted.
-	bufferLimit = 256 << 10
-	flushEvery  = 100 * time.Millisecond
+	// maxPending is the maximum size of the buffered log in bytes. Further lines are dropped and
+	// counted.
+	maxPending = 256 << 10
+	flushDelay = 100 * time.Millisecond
 )
 
-// Buffer passes lines on to a writer from a goroutine of its own, so that a
-// slow reader of the log never holds a request up.
+// Buffer writes log lines asynchronously, so that a slow log reader does not delay requests.
 type Buffer struct {
 	out io.Writer
 
-	mu      sync.Mutex
-	pending []byte
-	writing sync.Mutex
-	armed   bool
-	// Dropped counts lines that found the buffer full.
+	mu             sync.Mutex
+	pending        []byte
+	writeMutex     sync.Mutex
+	flushScheduled bool
+	// dropped counts the lines that did not fit into the buffer.
 	dropped int
 }
 
-// NewBuffer returns a buffer before a writer.
+// NewBuffer returns a buffer that writes to out.
 func NewBuffer(out io.Writer) *Buffer { return &Buffer{out: out} }
 
-// Write implements io.Writer. It takes one whole line.
+// Write implements io.Writer. Each call takes a whole line.
 func (b *Buffer) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.pending)+len(line) > bufferLimit {
+	if len(b.pending)+len(line) > maxPending {
 		b.dropped++
 		return len(line), nil
 	}
 	b.pending = append(b.pending, line...)
-	if !b.armed {
-		b.armed = true
-		time.AfterFunc(flushEvery, b.Flush)
+	if !b.flushScheduled {
+		b.flushScheduled = true
+		time.AfterFunc(flushDelay, b.Flush)
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines found the buffer full.
+// Dropped returns the number of lines that did not fit into the buffer.
 func (b *Buffer) Dropped() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.dropped
 }
 
-// Flush writes what is pending.
+// Flush writes the buffered lines.
 func (b *Buffer) Flush() {
-	b.writing.Lock()
-	defer b.writing.Unlock()
+	b.writeMutex.Lock()
+	defer b.writeMutex.Unlock()
 	b.mu.Lock()
 	lines := b.pending
-	b.pending, b.armed = nil, false
+	b.pending, b.flushScheduled = nil, false
 	b.mu.Unlock()
 	_, _ = b.out.Write(lines)
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,4 @@
-// Package telemetry makes the loggers and metric registries that all processes
-// share in form.
+// Package telemetry creates the loggers and metric registries of all processes.
 package telemetry
 
 import (
@@ -14,11 +13,11 @@
 	"quinceridge.example/quinceridge/internal/settings"
 )
 
-// partKey is the attribute that names the part of a process that logs.
+// partKey is the log attribute for the part of the process.
 const partKey = "part"
 
-// NewLogger returns a logger in the configured form. Every line carries the
-// process's name.
+// NewLogger returns a logger with the given settings. Each line includes the name of the
+// process.
 func NewLogger(out io.Writer, config settings.Log, process string) *slog.Logger {
 	options := &slog.HandlerOptions{Level: level(config.Level)}
 	var handler slog.Handler = slog.NewTextHandler(out, options)
@@ -28,7 +27,7 @@
 	return slog.New(handler).With("process", process)
 }
 
-// Part returns a logger for one part of a process.
+// Part returns a logger for a part of a process.
 func Part(logger *slog.Logger, part string) *slog.Logger { return logger.With(partKey, part) }
 
 func level(name string) slog.Level {
@@ -39,14 +38,14 @@
 	return level
 }
 
-// NewRegistry returns a metric registry with the process's own figures.
+// NewRegistry returns a registry with the metrics of the Go runtime and the process.
 func NewRegistry() *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return registry
 }
 
-// Handler serves a registry to a scraper.
+// Handler returns an HTTP handler that serves a registry's metrics.
 func Handler(registry *prometheus.Registry) http.Handler {
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,4 +1,4 @@
-// Package trace keeps what happened to recent requests, for operators.
+// Package trace records the steps of recent requests for operators.
 package trace
 
 import (
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// capacity bounds how many requests are remembered, and steps how much of each.
+// capacity is the maximum number of recorded requests, and maxSteps that of steps per request.
 const (
 	capacity = 4096
 	maxSteps = 64
 )
 
-// Step is one thing that happened to a request.
+// Step is an event in the processing of a request.
 type Step struct {
-	// At is the time since the request came in, in milliseconds.
+	// At is the time since the start of the request in milliseconds.
 	At float64 `json:"at_ms"`
 	// What is a fixed word, such as placed or resumed.
 	What string `json:"what"`
-	// Detail is for people.
+	// Detail is a human-readable description.
 	Detail string `json:"detail,omitempty"`
 }
 
-// Trace is the record of one request.
+// Trace is the record of a request.
 type Trace struct {
 	RequestID string    `json:"request_id"`
 	Tenant    string    `json:"tenant,omitempty"`
@@ -31,7 +31,7 @@
 	Steps     []Step    `json:"steps"`
 }
 
-// Recorder remembers the latest requests. It is safe for concurrent use.
+// Recorder records the latest requests. It is safe for concurrent use.
 type Recorder struct {
 	mu     sync.Mutex
 	order  *list.List
@@ -43,13 +43,13 @@
 	return &Recorder{order: list.New(), traces: map[string]*list.Element{}}
 }
 
-// Span records the steps of one request. A nil Span records nothing.
+// Span records the steps of a request. A nil Span records nothing.
 type Span struct {
 	recorder *Recorder
 	trace    *Trace
 }
 
-// Start begins a request. An earlier one with the same ID is forgotten.
+// Start begins the record of a request and removes an earlier one with the same ID.
 func (r *Recorder) Start(requestID, tenant string) *Span {
 	t := &Trace{RequestID: requestID, Tenant: tenant, Started: time.Now()}
 	r.mu.Lock()
@@ -66,7 +66,7 @@
 	return &Span{recorder: r, trace: t}
 }
 
-// Step records that something happened now.
+// Step records a step that happens now.
 func (s *Span) Step(what, detail string) {
 	if s == nil {
 		return
--- a/internal/version/build.go
+++ b/internal/version/build.go
@@ -8,8 +8,8 @@
 	"quinceridge.example/quinceridge/internal/level"
 )
 
-// Build names the sources that a program was built from: their revision, with a + if they
-// were changed, or nothing if the build did not note it.
+// Build returns the VCS revision that the program was built from, followed by + if the sources
+// were modified. It is empty if unknown.
 func Build() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -27,8 +27,7 @@
 	return revision + changed
 }
 
-// WriteTo writes what a process runs as a figure, so that operators see who runs what while
-// machines are replaced.
+// WriteTo writes the build info metric, which shows the versions in use during an upgrade.
 func WriteTo(w io.Writer) {
 	fmt.Fprintf(w, "quinceridge_build_info{version=%q,build=%q,level=\"%d\"} 1\n", Current, Build(), level.Current)
 }
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,5 +1,5 @@
-// Package version holds the product's version.
+// Package version defines the product's version.
 package version
 
-// Current is the version of this source tree. CHANGELOG.md describes it.
+// Current is the version of this source tree.
 const Current = "0.1.0"
