--- a/internal/coordinator/blocking.go
+++ b/internal/coordinator/blocking.go
@@ -64,7 +64,7 @@
 
 // record adds the evidence of a router's reports. It is safe for concurrent use.
 func (b *blocker) record(now time.Duration, router string, reports *coordapi.Reports) {
-	if len(reports.Endings) == 0 && len(reports.Answered) == 0 {
+	if len(reports.FailedAttempts) == 0 && len(reports.Answered) == 0 {
 		return
 	}
 	b.mu.Lock()
@@ -73,7 +73,7 @@
 		return
 	}
 	b.dirty = true
-	for _, e := range reports.Endings {
+	for _, e := range reports.FailedAttempts {
 		b.ledger.Record(now, e)
 		b.logger.Info("back end failed during an attempt", "part", "blocking", "request", e.Request.String(), "backend", e.Backend, "router", router,
 			"age_ms", e.Age.Milliseconds(), "lasted_ms", e.Duration.Milliseconds(), "down", e.Down, "silent", e.Silent)
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -30,7 +30,7 @@
 	unanswered int
 	// draining is the next result of Draining, and limits that of Limits.
 	draining []coordapi.BackendID
-	limits   []coordapi.LimitWord
+	limits   []coordapi.LimitReport
 	// calls records the orders and reports, and whether each had a permit.
 	calls []engineCall
 }
@@ -83,7 +83,7 @@
 	return EngineReport{Orders: e.orders, Weights: map[string]int{"m": e.version}}, nil
 }
 
-func (f *fakeEngines) Limits(bool) []coordapi.LimitWord {
+func (f *fakeEngines) Limits(bool) []coordapi.LimitReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := f.limits
@@ -259,7 +259,7 @@
 }
 
 func beat(id string, sequence coordapi.Sequence, draining bool) coordapi.Request {
-	return coordapi.Request{Beat: &coordapi.Beat{Sequence: sequence, Backend: state.Backend{ID: id, Pool: "llm", Address: id,
+	return coordapi.Request{Heartbeat: &coordapi.Heartbeat{Sequence: sequence, Backend: state.Backend{ID: id, Pool: "llm", Address: id,
 		Weights: map[string]int{"m": 1}, Draining: draining}}}
 }
 
--- a/internal/coordinator/digest.go
+++ b/internal/coordinator/digest.go
@@ -32,7 +32,7 @@
 	return d.accepted && now-d.acceptedAt < digestValidity
 }
 
-func (d *digest) record(b coordapi.Beat) {
+func (d *digest) record(b coordapi.Heartbeat) {
 	if d.sequences == nil {
 		d.sequences = map[coordapi.BackendID]coordapi.Sequence{}
 	}
@@ -42,7 +42,7 @@
 
 // answerLocally answers a heartbeat that changes nothing according to this node's replica, and
 // reports whether it did. Most heartbeats are of this kind; the leader receives them as digests.
-func (s *Server) answerLocally(ctx context.Context, b coordapi.Beat) bool {
+func (s *Server) answerLocally(ctx context.Context, b coordapi.Heartbeat) bool {
 	answered := false
 	s.loop.Do(ctx, func(now time.Duration) {
 		if s.core == nil || s.core.HoldsLease(now) || !s.digest.mayAnswer(now) {
@@ -86,7 +86,7 @@
 	ctx, cancel := context.WithTimeout(ctx, digestValidity)
 	defer cancel()
 	var reply coordapi.Reply
-	err := s.peers.Call(ctx, leader, coordapi.KindCall, coordapi.Request{Digest: &coordapi.Digest{Heard: sequences}}, &reply)
+	err := s.peers.Call(ctx, leader, coordapi.KindCall, coordapi.Request{HeartbeatDigest: &coordapi.HeartbeatDigest{Sequences: sequences}}, &reply)
 	if err != nil || reply.NotLeader {
 		return
 	}
@@ -94,9 +94,9 @@
 }
 
 // recordDigest records the heartbeats that another node answered.
-func (s *Server) recordDigest(ctx context.Context, d coordapi.Digest) (coordapi.Reply, error) {
+func (s *Server) recordDigest(ctx context.Context, d coordapi.HeartbeatDigest) (coordapi.Reply, error) {
 	return s.runAsLeader(ctx, func(now time.Duration) {
-		for id, sequence := range d.Heard {
+		for id, sequence := range d.Sequences {
 			s.soft.heartbeat(now, string(id), sequence)
 		}
 	})
--- a/internal/coordinator/digest_test.go
+++ b/internal/coordinator/digest_test.go
@@ -27,7 +27,7 @@
 	sequence := coordapi.Sequence(1)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		sequence++
-		if !server.answerLocally(context.Background(), *beat("x", sequence, false).Beat) {
+		if !server.answerLocally(context.Background(), *beat("x", sequence, false).Heartbeat) {
 			return poll.Continue("the leader has not accepted a digest of node %d", other)
 		}
 		return poll.Success()
@@ -45,8 +45,8 @@
 	g.call(0, beat("x", 1, false))
 	server := g.servers[(g.leader()+1)%3]
 	server.loop.Do(context.Background(), func(now time.Duration) { server.digest.acceptedAt, server.digest.accepted = now, true })
-	assert.Assert(t, !server.answerLocally(context.Background(), *beat("x", 2, true).Beat))
-	assert.Assert(t, !server.answerLocally(context.Background(), *beat("unknown", 1, false).Beat))
+	assert.Assert(t, !server.answerLocally(context.Background(), *beat("x", 2, true).Heartbeat))
+	assert.Assert(t, !server.answerLocally(context.Background(), *beat("unknown", 1, false).Heartbeat))
 }
 
 func TestPartitionedNodeAnswersNoHeartbeats(t *testing.T) {
--- a/internal/coordinator/http.go
+++ b/internal/coordinator/http.go
@@ -28,7 +28,7 @@
 //	PUT  /v1/configuration            a traffic.Document
 //	GET  /v1/configuration            the one in force
 //	POST /v1/weights                  a state.NameWeights
-//	POST /v1/backends/{id}/heartbeat  a coordapi.Beat
+//	POST /v1/backends/{id}/heartbeat  a coordapi.Heartbeat
 //	POST /v1/backends/{id}/leave      with ?born= if it may start again under its name
 //	GET  /v1/blocked                  the blocked requests
 //	GET  /v1/limits                   coordapi.LimitsInForce of the leader
@@ -117,7 +117,7 @@
 
 // heartbeat serves a heartbeat in the default vocabulary.
 func (s *Server) heartbeat(w http.ResponseWriter, r *http.Request) {
-	var beat coordapi.Beat
+	var beat coordapi.Heartbeat
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCall)).Decode(&beat)
 	beat.Backend.ID = r.PathValue("id")
 	if err == nil {
@@ -128,7 +128,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.respond(w, r, coordapi.Request{Beat: &beat})
+	s.respond(w, r, coordapi.Request{Heartbeat: &beat})
 }
 
 // serveCall decodes a body and runs the call that translate makes of it.
--- a/internal/coordinator/orders.go
+++ b/internal/coordinator/orders.go
@@ -84,7 +84,7 @@
 	Draining() []coordapi.BackendID
 	// Limits returns the limits that engines have reported since the last call in such answers,
 	// or all limits in force if all is set.
-	Limits(all bool) []coordapi.LimitWord
+	Limits(all bool) []coordapi.LimitReport
 }
 
 // loadWeights makes one engine load a version: it announces the load, sends the order, waits
@@ -118,8 +118,8 @@
 // awaitPrefill waits until an engine has processed the prompts that it was sent, at most for
 // prefillTimeout.
 func (s *Server) awaitPrefill(ctx context.Context, id string) {
-	periodic.Pause(ctx, announceDelay)
-	for limit := s.now() + prefillTimeout; s.now() < limit && ctx.Err() == nil; periodic.Pause(ctx, prefillPollInterval) {
+	periodic.Sleep(ctx, announceDelay)
+	for limit := s.now() + prefillTimeout; s.now() < limit && ctx.Err() == nil; periodic.Sleep(ctx, prefillPollInterval) {
 		unreadPrompt := 0
 		s.loop.Do(ctx, func(time.Duration) { unreadPrompt = s.soft.routerReports.unreadPrompt(id) })
 		if unreadPrompt == 0 {
@@ -171,7 +171,7 @@
 			return errors.New("lost leadership, or engine restarted")
 		}
 		if !s.acquirePermit(&order.Target) {
-			periodic.Pause(ctx, orderRetryDelay)
+			periodic.Sleep(ctx, orderRetryDelay)
 			continue
 		}
 		attempt, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -191,13 +191,13 @@
 			return err
 		}
 		if !errors.Is(err, ErrOrderConflict) {
-			periodic.Pause(ctx, orderRetryDelay)
+			periodic.Sleep(ctx, orderRetryDelay)
 			continue
 		}
 		if held, failure := s.refreshExpected(ctx, row, &order); failure == nil && held {
 			return ErrAlreadyLoaded
 		}
-		periodic.Pause(ctx, reportInterval)
+		periodic.Sleep(ctx, reportInterval)
 	}
 	return ctx.Err()
 }
@@ -269,13 +269,13 @@
 
 // awaitLoaded polls the engine until it reports the version.
 func (s *Server) awaitLoaded(ctx context.Context, row state.Backend, model string, version int) error {
-	periodic.Pause(ctx, firstReportDelay)
+	periodic.Sleep(ctx, firstReportDelay)
 	for ctx.Err() == nil {
 		report, err := s.report(ctx, row)
 		if err == nil && report.Weights[model] >= version && !report.Busy {
 			return nil
 		}
-		periodic.Pause(ctx, reportInterval)
+		periodic.Sleep(ctx, reportInterval)
 	}
 	return ctx.Err()
 }
--- a/internal/coordinator/place_test.go
+++ b/internal/coordinator/place_test.go
@@ -84,7 +84,7 @@
 
 func (downEngines) Draining() []coordapi.BackendID { return nil }
 
-func (downEngines) Limits(bool) []coordapi.LimitWord { return nil }
+func (downEngines) Limits(bool) []coordapi.LimitReport { return nil }
 
 // Guards against a crashed engine that holds a load slot until the load times out.
 func TestOrderToUnreachableEngineFailsAtOnce(t *testing.T) {
--- a/internal/coordinator/registry.go
+++ b/internal/coordinator/registry.go
@@ -10,7 +10,7 @@
 
 // acceptHeartbeat records a heartbeat. A heartbeat that changes the row is acknowledged only once
 // the change is committed.
-func (s *Server) acceptHeartbeat(ctx context.Context, b coordapi.Beat) (coordapi.Reply, error) {
+func (s *Server) acceptHeartbeat(ctx context.Context, b coordapi.Heartbeat) (coordapi.Reply, error) {
 	var rejected error
 	reply, err := s.commitRow(ctx, func(now time.Duration) (state.Backend, bool) {
 		b.Backend.Instance = ""
--- a/internal/coordinator/rejoin_test.go
+++ b/internal/coordinator/rejoin_test.go
@@ -76,10 +76,10 @@
 	assert.Equal(t, g.currentRow(0, "x").ID, "")
 	// Another back end has the address now.
 	other := heartbeatOf("y", 100, 1, false, 1)
-	other.Beat.Backend.Address = "x"
+	other.Heartbeat.Backend.Address = "x"
 	g.call(0, other)
 	for n := range coordapi.Sequence(2 * rejoinHeartbeats) {
-		other.Beat.Sequence++
+		other.Heartbeat.Sequence++
 		g.call(0, other)
 		g.sendHeartbeats(100+n, 1, "x", 100, false)
 	}
--- a/internal/coordinator/rollout.go
+++ b/internal/coordinator/rollout.go
@@ -223,7 +223,7 @@
 		var report EngineReport
 		err := errors.New("no report requested")
 		for ctx.Err() == nil && (err != nil || report.Busy) {
-			periodic.Pause(ctx, reportInterval)
+			periodic.Sleep(ctx, reportInterval)
 			report, err = s.report(ctx, row)
 		}
 		s.updateRow(context.WithoutCancel(ctx), row.ID, func(b *state.Backend) {
--- a/internal/coordinator/starts.go
+++ b/internal/coordinator/starts.go
@@ -120,7 +120,7 @@
 
 // matchCurrentStart reports whether a heartbeat is of the current start according to a replica.
 // If so, it sets the row ID and the instance in the heartbeat.
-func matchCurrentStart(d *state.Deployment, b *coordapi.Beat) bool {
+func matchCurrentStart(d *state.Deployment, b *coordapi.Heartbeat) bool {
 	row, known := d.Current(b.Backend.Name())
 	if !known || row.Born != b.Backend.Born {
 		return false
--- a/internal/follower/evidence.go
+++ b/internal/follower/evidence.go
@@ -127,7 +127,7 @@
 		}
 		attempt := s.FailedAttempt
 		attempt.Age = now - s.at
-		reports.Endings = append(reports.Endings, attempt)
+		reports.FailedAttempts = append(reports.FailedAttempts, attempt)
 	}
 	for d := range e.answered {
 		reports.Answered = append(reports.Answered, d)
@@ -139,7 +139,7 @@
 func (e *evidence) requeue(reports *coordapi.Reports) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, attempt := range reports.Endings {
+	for _, attempt := range reports.FailedAttempts {
 		for i := range e.attempts {
 			if s := &e.attempts[i]; s.Backend == attempt.Backend && s.Request == attempt.Request {
 				s.reportedTo = ""
--- a/internal/follower/evidence_test.go
+++ b/internal/follower/evidence_test.go
@@ -21,7 +21,7 @@
 func (e *evidence) failed(now time.Duration) []poison.FailedAttempt {
 	var reports coordapi.Reports
 	e.take(now, &reports)
-	return reports.Endings
+	return reports.FailedAttempts
 }
 
 // Failed attempts are reported once to each leader, with their age at the time, and again if the
@@ -34,7 +34,7 @@
 	assert.DeepEqual(t, e.failed(2*time.Second), []poison.FailedAttempt{{Backend: "a", Request: 7, Down: true, Age: time.Second}})
 	e.follow("first-2", nil)
 	assert.Equal(t, len(e.failed(3*time.Second)), 0)
-	e.requeue(&coordapi.Reports{Endings: []poison.FailedAttempt{{Backend: "a", Request: 7}}})
+	e.requeue(&coordapi.Reports{FailedAttempts: []poison.FailedAttempt{{Backend: "a", Request: 7}}})
 	assert.Equal(t, len(e.failed(3*time.Second)), 1)
 	e.follow("second-1", nil)
 	assert.DeepEqual(t, e.failed(5*time.Second), []poison.FailedAttempt{{Backend: "a", Request: 7, Down: true, Age: 4 * time.Second}})
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -253,7 +253,7 @@
 func (f *Follower) applyView(sent time.Duration, v *coordapi.View) bool {
 	rows, document, blocked, whole := v.Backends, v.Document, v.Blocked, len(v.Packed) > 0
 	if whole {
-		var unpacked coordapi.Whole
+		var unpacked coordapi.FullView
 		if !f.unpack(v, "cannot decode view", v.Packed, &unpacked) {
 			return false
 		}
--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -245,7 +245,7 @@
 	if j.query.Model == "" {
 		return
 	}
-	if version, err := strconv.Atoi(header.Get(h.config.Headers.VersionIs)); err == nil {
+	if version, err := strconv.Atoi(header.Get(h.config.Headers.ResponseVersion)); err == nil {
 		h.config.Pool.VersionObserved(choice.ID, j.query.Model, version)
 	}
 }
@@ -267,7 +267,7 @@
 		h.config.Pool.Busy(now, choice.ID)
 		h.recordPushback(now, choice)
 		if response.StatusCode == http.StatusMisdirectedRequest {
-			other := result.response.header.Get(h.config.Headers.InstanceIs)
+			other := result.response.header.Get(h.config.Headers.ResponseInstance)
 			h.config.Pool.Mismatch(choice.ID, j.query.Model, choice.Version, other != "" && other != choice.Name())
 		}
 	default:
--- a/internal/forward/choose.go
+++ b/internal/forward/choose.go
@@ -64,7 +64,7 @@
 			// No back end of the pool is available before the limit.
 			return choice, false
 		}
-		if periodic.Pause(ctx, max(j.permitDelay, pollInterval)); ctx.Err() != nil {
+		if periodic.Sleep(ctx, max(j.permitDelay, pollInterval)); ctx.Err() != nil {
 			return choice, false
 		}
 	}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -98,7 +98,7 @@
 // Requests that arrive shortly before the first view after a restart must not be refused.
 func TestRequestWaitsUntilRouterMayServe(t *testing.T) {
 	r := newRig(t)
-	r.add("app", "a", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(names.Seal, "s") })
+	r.add("app", "a", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(names.Signature, "s") })
 	r.source.fresh.Store(false)
 	time.AfterFunc(50*time.Millisecond, func() { r.source.fresh.Store(true) })
 	assert.Equal(t, r.ask("GET", "/safe/x", nil).status, http.StatusOK)
@@ -164,7 +164,7 @@
 func TestPlacerChoosesEngineWhileItReplies(t *testing.T) {
 	r := newRig(t)
 	stream := func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(names.Seal, "s")
+		w.Header().Set(names.Signature, "s")
 		_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
 	}
 	r.add("llm", "mine", stream)
@@ -197,7 +197,7 @@
 	r := newRig(t)
 	r.add("app", "other", good)
 	r.add("llm", "open", func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(names.Seal, "s")
+		w.Header().Set(names.Signature, "s")
 		_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
 	})
 	r.add("llm", "leaving", func(http.ResponseWriter, *http.Request) { t.Error("the request was sent") })
@@ -270,7 +270,7 @@
 }
 
 func good(w http.ResponseWriter, _ *http.Request) {
-	w.Header().Set(names.Seal, "seal")
+	w.Header().Set(names.Signature, "seal")
 	_, _ = io.WriteString(w, "fine")
 }
 
@@ -308,7 +308,7 @@
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, 200)
 	assert.Equal(t, got.body, "fine")
-	assert.Equal(t, got.header.Get(names.Seal), "seal")
+	assert.Equal(t, got.header.Get(names.Signature), "seal")
 }
 
 func TestInvalidRequestIsRefusedWithoutAttempt(t *testing.T) {
--- a/internal/forward/limits_test.go
+++ b/internal/forward/limits_test.go
@@ -50,7 +50,7 @@
 // sent.
 func TestRequestCountsOnceAndOnlyIfItRan(t *testing.T) {
 	stream := func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(names.Seal, "s")
+		w.Header().Set(names.Signature, "s")
 		_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
 	}
 	chat := func(r *rig) {
@@ -109,7 +109,7 @@
 // Clients must not set the router's own headers by case, repetition or Connection.
 func TestOwnedHeadersOfClientsAreDropped(t *testing.T) {
 	r := newRig(t)
-	owned := r.handler.config.Headers.Owned()
+	owned := r.handler.config.Headers.Reserved()
 	r.add("app", "a", func(w http.ResponseWriter, q *http.Request) {
 		for _, name := range owned {
 			for _, value := range q.Header.Values(name) {
--- a/internal/forward/ratelimit_test.go
+++ b/internal/forward/ratelimit_test.go
@@ -110,7 +110,7 @@
 			continue
 		}
 		assert.Equal(t, response.status, http.StatusServiceUnavailable)
-		assert.Equal(t, response.header.Get(names.Seal), "")
+		assert.Equal(t, response.header.Get(names.Signature), "")
 		assert.Assert(t, time.Since(begun) < 200*time.Millisecond, "refused after %v", time.Since(begun))
 		refused++
 		after := retryAfter(t, response)
--- a/internal/forward/response.go
+++ b/internal/forward/response.go
@@ -67,7 +67,7 @@
 		return outcome{verdict: notRun, response: read, delivered: true, err: errRejected}
 	case response.StatusCode >= http.StatusInternalServerError:
 		return outcome{verdict: failed, response: read, delivered: true, err: errServerError}
-	case response.StatusCode < http.StatusMultipleChoices && response.Header.Get(names.Seal) == "":
+	case response.StatusCode < http.StatusMultipleChoices && response.Header.Get(names.Signature) == "":
 		return outcome{verdict: mayHaveRun, delivered: true, err: errNoSeal}
 	case s.headerSent:
 		return outcome{verdict: mayHaveRun, delivered: true, err: errServerError}
@@ -119,7 +119,7 @@
 // stream forwards events as they arrive. The header is sent with the first event.
 func (s *session) stream(ctx context.Context, response *upstream.BackendResponse) outcome {
 	reader := bufio.NewReaderSize(response, streamBuffer)
-	if response.Header.Get(s.handler.config.Headers.Seal) == "" {
+	if response.Header.Get(s.handler.config.Headers.Signature) == "" {
 		return outcome{verdict: mayHaveRun, delivered: true, err: errNoSeal}
 	}
 	var event []byte
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -131,10 +131,10 @@
 // A 421 may come from another instance at the address: its draining header does not apply.
 func TestDrainingOfAnotherInstanceIsIgnored(t *testing.T) {
 	r := newTestRegistry()
-	r.respond("a", 421, names.Draining, "1", names.InstanceIs, "b")
+	r.respond("a", 421, names.Draining, "1", names.ResponseInstance, "b")
 	r.respond("a", 421, names.Draining, "1")
 	assert.NilError(t, r.Check("a"))
-	r.respond("a", 421, names.Draining, "1", names.InstanceIs, "a")
+	r.respond("a", 421, names.Draining, "1", names.ResponseInstance, "a")
 	assert.ErrorIs(t, r.Check("a"), ErrUnavailable)
 }
 
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -126,7 +126,7 @@
 }
 
 // Observe records reports of limits, and returns the back ends whose limit has changed.
-func (l *Limiter) Observe(now time.Duration, reports []coordapi.LimitWord) (changed []coordapi.BackendID) {
+func (l *Limiter) Observe(now time.Duration, reports []coordapi.LimitReport) (changed []coordapi.BackendID) {
 	if len(reports) == 0 {
 		return nil
 	}
@@ -144,7 +144,7 @@
 }
 
 // observe records one report, and reports whether it changes the limit.
-func (l *Limiter) observe(now time.Duration, report *coordapi.LimitWord) bool {
+func (l *Limiter) observe(now time.Duration, report *coordapi.LimitReport) bool {
 	latest := observationOf(now, report)
 	a := l.accounts[report.ID]
 	if a == nil {
@@ -261,7 +261,7 @@
 		if !a.observation.limited {
 			continue
 		}
-		out = append(out, coordapi.BackendLimit{ID: id, Pool: a.pool, Rate: float64(a.observation.rate), HeardAgo: now - a.observation.received,
+		out = append(out, coordapi.BackendLimit{ID: id, Pool: a.pool, Rate: float64(a.observation.rate), ObservedAgo: now - a.observation.received,
 			Granted: a.grants.Value(now, averagingTime) / averagingTime.Seconds(), Denied: a.denied.Value(now, averagingTime) / averagingTime.Seconds()})
 	}
 	slices.SortFunc(out, func(x, y coordapi.BackendLimit) int { return cmp.Compare(x.ID, y.ID) })
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -23,12 +23,12 @@
 	return l
 }
 
-func limited(id string, rate float64) []coordapi.LimitWord {
-	return []coordapi.LimitWord{{ID: coordapi.BackendID(id), Pool: "p", Limited: true, Rate: rate}}
+func limited(id string, rate float64) []coordapi.LimitReport {
+	return []coordapi.LimitReport{{ID: coordapi.BackendID(id), Pool: "p", Limited: true, Rate: rate}}
 }
 
-func unlimited(id string) []coordapi.LimitWord {
-	return []coordapi.LimitWord{{ID: coordapi.BackendID(id)}}
+func unlimited(id string) []coordapi.LimitReport {
+	return []coordapi.LimitReport{{ID: coordapi.BackendID(id)}}
 }
 
 // request returns a request of a router for a back end.
@@ -145,7 +145,7 @@
 func TestLimitHoldsUntilNewerReport(t *testing.T) {
 	l := newTestLimiter()
 	at := func(now time.Duration, rate float64, limited bool, sent, heard time.Duration) {
-		l.Observe(now, []coordapi.LimitWord{{ID: "a", Pool: "p", Limited: limited, Rate: rate, Sent: now - sent, Heard: now - heard}})
+		l.Observe(now, []coordapi.LimitReport{{ID: "a", Pool: "p", Limited: limited, Rate: rate, SentAgo: now - sent, ReceivedAgo: now - heard}})
 	}
 	holds := func(now time.Duration) bool { return !l.Take(now, request(0, "a")).Unlimited }
 	at(time.Second, 1, true, 800*time.Millisecond, 900*time.Millisecond)
@@ -250,7 +250,7 @@
 func TestReportedRatesAreClamped(t *testing.T) {
 	l := newTestLimiter()
 	for i, rate := range []float64{-5, 1e308, 1e308, 3} {
-		l.Observe(0, []coordapi.LimitWord{{ID: "a", Pool: "p", Limited: true, Rate: rate, Sent: -time.Hour, Heard: -time.Hour}})
+		l.Observe(0, []coordapi.LimitReport{{ID: "a", Pool: "p", Limited: true, Rate: rate, SentAgo: -time.Hour, ReceivedAgo: -time.Hour}})
 		l.Observe(0, limited(fmt.Sprint(i), rate))
 	}
 	l.Remove([]string{"a", "0", "1", "2"})
@@ -276,7 +276,7 @@
 	l := NewLimiter(slog.New(slog.DiscardHandler))
 	l.SetLeading(true)
 	l.SetLease(time.Minute)
-	l.Observe(0, []coordapi.LimitWord{{ID: "engine-7", Pool: "chat", Limited: true, Rate: 2}})
+	l.Observe(0, []coordapi.LimitReport{{ID: "engine-7", Pool: "chat", Limited: true, Rate: 2}})
 	fmt.Println(l.Take(0, Request{Router: "r1", Number: 1, Backend: "engine-7"}).Granted)
 	fmt.Println(l.Take(0, Request{Router: "r2", Number: 1, Backend: "engine-7"}).Wait)
 	fmt.Println(l.RetryAfter(0, "chat"))
--- a/internal/ratelimit/observation.go
+++ b/internal/ratelimit/observation.go
@@ -47,12 +47,12 @@
 
 // observationOf converts a report, by the local clock. The sender may be another build or
 // faulty, so rates are clamped and times lie in the past.
-func observationOf(now time.Duration, r *coordapi.LimitWord) observation {
+func observationOf(now time.Duration, r *coordapi.LimitReport) observation {
 	rate := min(max(PerSecond(r.Rate), 0), maxRate)
-	return observation{sent: now - max(r.Sent, 0), received: now - max(r.Heard, 0), limited: r.Limited, rate: rate}
+	return observation{sent: now - max(r.SentAgo, 0), received: now - max(r.ReceivedAgo, 0), limited: r.Limited, rate: rate}
 }
 
 // report returns the observation as a report to the leader.
-func (o observation) report(now time.Duration, id coordapi.BackendID, pool string) coordapi.LimitWord {
-	return coordapi.LimitWord{ID: id, Pool: pool, Limited: o.limited, Rate: float64(o.rate), Sent: now - o.sent, Heard: now - o.received}
+func (o observation) report(now time.Duration, id coordapi.BackendID, pool string) coordapi.LimitReport {
+	return coordapi.LimitReport{ID: id, Pool: pool, Limited: o.limited, Rate: float64(o.rate), SentAgo: now - o.sent, ReceivedAgo: now - o.received}
 }
--- a/internal/ratelimit/registry.go
+++ b/internal/ratelimit/registry.go
@@ -259,7 +259,7 @@
 }
 
 // TakeUnreported returns the limits that changed since the last call. A nil registry has none.
-func (r *Registry) TakeUnreported() []coordapi.LimitWord {
+func (r *Registry) TakeUnreported() []coordapi.LimitReport {
 	if r == nil {
 		return nil
 	}
@@ -269,7 +269,7 @@
 		return nil
 	}
 	now := r.clock()
-	out := make([]coordapi.LimitWord, 0, len(r.unreported))
+	out := make([]coordapi.LimitReport, 0, len(r.unreported))
 	for id := range r.unreported {
 		if b := r.backends[id]; b != nil {
 			out = append(out, b.observation.report(now, id, b.pool))
@@ -296,7 +296,7 @@
 
 // Requeue makes TakeUnreported return reports once more that did not reach a leader. A nil
 // registry ignores them.
-func (r *Registry) Requeue(reports []coordapi.LimitWord) {
+func (r *Registry) Requeue(reports []coordapi.LimitReport) {
 	if r == nil {
 		return
 	}
--- a/internal/ratelimit/registry_test.go
+++ b/internal/ratelimit/registry_test.go
@@ -107,12 +107,12 @@
 // A response with status 421 may come from another start at the address.
 func TestLimitOfAnotherStartIsIgnored(t *testing.T) {
 	r := newRig()
-	r.respond("a", 421, names.Limit, "1", names.InstanceIs, "b")
+	r.respond("a", 421, names.Limit, "1", names.ResponseInstance, "b")
 	assert.NilError(t, r.Check("a", nil))
 	r.respond("a", 200, names.Limit, "1")
 	r.respond("a", 421)
 	assert.ErrorIs(t, r.Check("a", nil), ErrNoPermit)
-	r.respond("a", 421, names.InstanceIs, "a")
+	r.respond("a", 421, names.ResponseInstance, "a")
 	assert.NilError(t, r.Check("a", nil))
 	// The start that answered an order may be unknown.
 	r.respond("", 200, names.Limit, "1")
@@ -160,17 +160,17 @@
 	r.respond("b", 200, names.Limit, "2")
 	r.respond("b", 200)
 	r.now += time.Second
-	reported := map[coordapi.BackendID]coordapi.LimitWord{}
+	reported := map[coordapi.BackendID]coordapi.LimitReport{}
 	for _, report := range r.TakeUnreported() {
 		reported[report.ID] = report
 	}
-	assert.DeepEqual(t, reported["a"], coordapi.LimitWord{ID: "a", Pool: "p", Limited: true, Rate: 1, Heard: time.Second + 2*time.Millisecond,
-		Sent: time.Second + 3*time.Millisecond})
+	assert.DeepEqual(t, reported["a"], coordapi.LimitReport{ID: "a", Pool: "p", Limited: true, Rate: 1, ReceivedAgo: time.Second + 2*time.Millisecond,
+		SentAgo: time.Second + 3*time.Millisecond})
 	assert.Assert(t, !reported["b"].Limited)
 	assert.Equal(t, len(r.TakeUnreported()), 0)
 	r.ReportAgain()
 	assert.Equal(t, len(r.TakeUnreported()), 1)
-	r.Requeue([]coordapi.LimitWord{reported["a"], reported["b"], {ID: "unknown"}})
+	r.Requeue([]coordapi.LimitReport{reported["a"], reported["b"], {ID: "unknown"}})
 	assert.Equal(t, len(r.TakeUnreported()), 2)
 	// A leader that grants an unlimited permit may have missed the report.
 	assert.NilError(t, r.Consume("a", Unlimited("a")))
