--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -1,8 +1,8 @@
-// Package control is the control node: the replicated state machine over the
-// consensus core, the routers' leases, and the rollout of bundles.
+// Package control implements the control node: the replicated state machine on top of Raft,
+// the leases of routers, and the rollout of configuration bundles.
 //
-// Core holds the decisions and is driven by one goroutine (or by the
-// simulator); Server connects it to sockets, clocks and disks.
+// Core makes the decisions. It is driven by a single goroutine or by the simulator; Server
+// connects it to sockets, clocks and disks.
 package control
 
 import (
@@ -17,52 +17,52 @@
 	"quinceridge.example/quinceridge/internal/storage"
 )
 
-// ErrLeadershipChanged is given to a proposer whose entry was replaced by another leader's,
-// or whose leader stepped down before the outcome was known. The command may
-// still be applied: the proposer sends it again with the same request ID.
+// ErrLeadershipChanged is passed to Done when the entry was replaced by one of another leader,
+// or when the leader stepped down before the outcome was known. The command may still be
+// applied: retry it with the same request ID.
 var ErrLeadershipChanged = errors.New("leadership changed before the outcome was known")
 
-// CoreConfig says how a Core behaves.
+// CoreConfig configures a Core.
 type CoreConfig struct {
 	Raft raft.Config
 	// Initial is the membership of a new group.
 	Initial raft.Membership
-	// SnapshotEvery is the least number of applied entries between snapshots.
+	// SnapshotEvery is the minimum number of applied entries between two snapshots.
 	SnapshotEvery uint64
-	// Lease is how long a router's lease lasts.
+	// Lease is the duration of a router's lease.
 	Lease time.Duration
-	// Bootstrap is whose signatures count before the first bundle.
+	// Bootstrap holds the operators whose signatures are valid before the first bundle.
 	Bootstrap state.Trust
 }
 
-// Done receives the outcome of a proposal. It is called by Pump.
+// Done receives the outcome of a proposal.
 type Done func(state.Result, error)
 
-type waiter struct {
+type pendingProposal struct {
 	term uint64
 	done Done
 }
 
-// Core is the decision logic of a control node. It is not safe for concurrent
-// use.
+// Core is the decision logic of a control node. It is not safe for concurrent use.
 type Core struct {
 	config  CoreConfig
 	node    *raft.Node
 	store   *storage.Storage
 	machine *state.Machine
-	waiting map[uint64]waiter
-	leases  leaseTable
-	deltas  deltaCache
-	// snapshotAt is the applied index of the last snapshot.
+	// proposals holds the proposals without an outcome, by log index.
+	proposals map[uint64]pendingProposal
+	leases    leaseTable
+	deltas    deltaCache
+	// snapshotAt is the log index of the last snapshot.
 	snapshotAt uint64
-	// snapshotBytes is the size of the last snapshot, and logBytes that of the entries
-	// applied since.
+	// snapshotBytes is the size of the last snapshot, logBytes that of the entries applied
+	// since.
 	snapshotBytes int
 	logBytes      int
 	hard          raft.HardState
 }
 
-// NewCore opens the data folder and returns a node that starts at now.
+// NewCore opens the data directory and restores the last snapshot. now is the time at start.
 func NewCore(config CoreConfig, fs vfs.FS, dir string, now time.Duration) (*Core, error) {
 	store, stored, err := storage.Open(fs, dir)
 	if err != nil {
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{config: config, node: node, store: store, machine: state.New(), waiting: map[uint64]waiter{}, hard: stored.HardState}
+	c := &Core{config: config, node: node, store: store, machine: state.New(), proposals: map[uint64]pendingProposal{}, hard: stored.HardState}
 	c.leases.reset(now)
 	if s := stored.Snapshot; s != nil {
 		if err := c.machine.Restore(s.Data); err != nil {
@@ -84,42 +84,41 @@
 	return c, nil
 }
 
-// Close closes the data folder.
+// Close closes the data directory.
 func (c *Core) Close() error { return c.store.Close() }
 
-// Machine gives read access to the replicated state.
+// Machine returns the replicated state machine, which callers must not modify.
 func (c *Core) Machine() *state.Machine { return c.machine }
 
-// Status returns the consensus node's status.
+// Status returns the status of the Raft node.
 func (c *Core) Status() raft.Status { return c.node.Status() }
 
-// HoldsLease tells whether the node may act as the only leader at now.
+// HoldsLease reports whether the node is the leader and its lease is valid at now.
 func (c *Core) HoldsLease(now time.Duration) bool { return c.node.HoldsLease(now) }
 
-// LeaseUntil is the end of the leader's lease as far as it is known now, 0 for a
-// node that has none.
+// LeaseUntil returns the expiry of the leader's lease, or 0 if the node has none.
 func (c *Core) LeaseUntil() time.Duration { return c.node.LeaseUntil() }
 
-// Syncs returns how many file syncs were made, and how many bytes written.
+// Syncs returns the number of file syncs and of bytes written since the start.
 func (c *Core) Syncs() (syncs, bytes uint64) { return c.store.Syncs, c.store.Bytes }
 
-// Tick tells the core the time.
+// Tick advances the clock to now and runs the timed work: elections, rollout and admission.
 func (c *Core) Tick(now time.Duration) {
 	c.node.Tick(now)
-	c.followLeadership(now)
-	c.rollout(now)
+	c.trackLeadership(now)
+	c.advanceRollout(now)
 	c.admit(now)
 }
 
-// Step handles a consensus message.
+// Step processes a Raft message.
 func (c *Core) Step(now time.Duration, m raft.Message) {
 	c.node.Step(now, m)
-	c.followLeadership(now)
+	c.trackLeadership(now)
 }
 
-// followLeadership starts the lease table anew when leadership begins, and
-// fails waiting proposals when it ends.
-func (c *Core) followLeadership(now time.Duration) {
+// trackLeadership resets the lease table when the node becomes leader, and fails the pending
+// proposals when it stops being leader.
+func (c *Core) trackLeadership(now time.Duration) {
 	role := c.node.Role()
 	if role == raft.Leader && !c.leases.leading {
 		c.leases.reset(now)
@@ -127,20 +126,20 @@
 	}
 	if role != raft.Leader && c.leases.leading {
 		c.leases.leading = false
-		c.failWaiting()
+		c.failProposals()
 	}
 }
 
-func (c *Core) failWaiting() {
-	waiting := c.waiting
-	c.waiting = map[uint64]waiter{}
-	for _, w := range waiting {
+func (c *Core) failProposals() {
+	proposals := c.proposals
+	c.proposals = map[uint64]pendingProposal{}
+	for _, w := range proposals {
 		w.done(state.Result{}, ErrLeadershipChanged)
 	}
 }
 
-// Propose appends a command. Done is called once the outcome is known, unless
-// Propose returns an error: then nothing was appended.
+// Propose appends a command to the log. Done is called once the outcome is known. If Propose
+// returns an error, nothing was appended and Done is not called.
 func (c *Core) Propose(now time.Duration, command state.Command, done Done) error {
 	data, err := json.Marshal(command)
 	if err != nil {
@@ -150,7 +149,7 @@
 	if err != nil {
 		return err
 	}
-	c.waiting[index] = waiter{term: c.node.Term(index), done: done}
+	c.proposals[index] = pendingProposal{term: c.node.Term(index), done: done}
 	return nil
 }
 
@@ -160,12 +159,12 @@
 	return err
 }
 
-// TransferLeadership starts a hand-over.
+// TransferLeadership starts a transfer of leadership to the given node.
 func (c *Core) TransferLeadership(to uint64) error { return c.node.TransferLeadership(to) }
 
-// Pump makes all pending work durable, applies what is committed and returns
-// the messages to send. An error means that the disk failed: the node must
-// stop, for it no longer knows what it has promised.
+// Pump persists all pending work, applies the committed entries and returns the messages to
+// send. An error means that the disk failed. The node must then stop, as its votes and entries
+// may not be durable.
 func (c *Core) Pump(now time.Duration) ([]raft.Message, error) {
 	var messages []raft.Message
 	for c.node.HasReady() {
@@ -182,7 +181,7 @@
 		}
 		c.node.Advance(ready)
 	}
-	c.followLeadership(now)
+	c.trackLeadership(now)
 	return messages, c.maybeSnapshot()
 }
 
@@ -209,11 +208,11 @@
 }
 
 func (c *Core) complete(e raft.Entry, result state.Result) {
-	w, ok := c.waiting[e.Index]
+	w, ok := c.proposals[e.Index]
 	if !ok {
 		return
 	}
-	delete(c.waiting, e.Index)
+	delete(c.proposals, e.Index)
 	if w.term != e.Term {
 		w.done(state.Result{}, ErrLeadershipChanged)
 		return
@@ -221,14 +220,12 @@
 	w.done(result, nil)
 }
 
-// claimsPerEntry is how many remembered claims put off a snapshot by an entry.
+// claimsPerEntry is the number of stored claims that raise the snapshot interval by one entry.
 const claimsPerEntry = 4
 
-// maybeSnapshot takes a snapshot when enough entries were applied, and they are together
-// as large as the last one was. All snapshots together are then about as large as the log:
-// while 10,000 back ends register one by one, a node writes 5.9 MB with it and 35 MB
-// without, and a larger part of that the more there are (TestSnapshotsWriteNoMoreThanTheLog).
-// The log that a node reads at its start is about as large as its snapshot.
+// maybeSnapshot takes a snapshot when enough entries were applied and their total size has
+// reached that of the last snapshot. The second condition keeps the bytes written for
+// snapshots proportional to the size of the log, also while the state grows.
 func (c *Core) maybeSnapshot() error {
 	applied := c.machine.Applied()
 	every := max(c.config.SnapshotEvery, uint64(c.machine.ClaimCount()/claimsPerEntry))
@@ -238,7 +235,7 @@
 	return c.Snapshot()
 }
 
-// Snapshot makes the present state durable and shortens the log.
+// Snapshot persists the current state and compacts the log.
 func (c *Core) Snapshot() error {
 	applied := c.machine.Applied()
 	data, err := c.machine.Snapshot()
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -13,8 +13,8 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// newAlone returns a core that is its own group and leads.
-func newAlone(t *testing.T, fs vfs.FS) *Core {
+// newSingleNode returns the leader of a group of one node.
+func newSingleNode(t *testing.T, fs vfs.FS) *Core {
 	t.Helper()
 	config := CoreConfig{SnapshotEvery: 256, Initial: raft.Membership{Voters: []uint64{1}},
 		Raft: raft.Config{ID: 1, ElectionTimeout: 100 * time.Millisecond, HeartbeatInterval: 20 * time.Millisecond,
@@ -29,8 +29,8 @@
 	return c
 }
 
-// enrolEach commits an entry for each back end.
-func enrolEach(t *testing.T, c *Core, count int) {
+// enrolBackends commits one entry per back end.
+func enrolBackends(t *testing.T, c *Core, count int) {
 	t.Helper()
 	for i := range count {
 		row := state.Backend{ID: fmt.Sprintf("i-%010x", i*7919), Pool: "llm", Address: fmt.Sprintf("10.0.%d.%d:8080", i/250, i%250), Zone: "east",
@@ -42,12 +42,12 @@
 	}
 }
 
-// A snapshot of all rows for each 256 entries wrote 9.8 MB while 5,000 back ends
-// registered one by one and 35 MB while 10,000 did: with the square of their number.
-func TestSnapshotsWriteNoMoreThanTheLog(t *testing.T) {
+// Guards against snapshots of the whole state at a fixed interval, which write a number of
+// bytes quadratic in the number of back ends.
+func TestSnapshotBytesGrowLinearlyWithBackends(t *testing.T) {
 	written := func(count int) uint64 {
-		c := newAlone(t, vfs.NewMem())
-		enrolEach(t, c, count)
+		c := newSingleNode(t, vfs.NewMem())
+		enrolBackends(t, c, count)
 		_, bytes := c.Syncs()
 		return bytes
 	}
@@ -56,16 +56,16 @@
 	assert.Assert(t, many < 3*few, "%d bytes for 5,000 back ends, %d for 10,000", few, many)
 }
 
-// A node that starts again counts on from the snapshot it finds.
-func TestTheSizeOfTheLastSnapshotIsKnownAfterAStart(t *testing.T) {
+// A restarted node must use the size of the snapshot on disk to schedule the next one.
+func TestCoreRestoresSnapshotSizeAfterRestart(t *testing.T) {
 	fs := vfs.NewMem()
-	c := newAlone(t, fs)
-	enrolEach(t, c, 3000)
+	c := newSingleNode(t, fs)
+	enrolBackends(t, c, 3000)
 	assert.NilError(t, c.Snapshot())
 	size := c.snapshotBytes
 	assert.NilError(t, c.Close())
-	again := newAlone(t, fs)
-	assert.Equal(t, again.snapshotBytes, size)
-	enrolEach(t, again, 300)
-	assert.Assert(t, again.snapshotAt < again.machine.Applied()-256, "it was taken again after %d bytes", again.logBytes)
+	restarted := newSingleNode(t, fs)
+	assert.Equal(t, restarted.snapshotBytes, size)
+	enrolBackends(t, restarted, 300)
+	assert.Assert(t, restarted.snapshotAt < restarted.machine.Applied()-256, "new snapshot after %d bytes", restarted.logBytes)
 }
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -13,10 +13,10 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// ErrStopping is returned to calls that come while the node stops.
+// ErrStopping is returned to calls that the node did not finish because it is stopping.
 var ErrStopping = errors.New("the node is stopping")
 
-// handle serves one call of a peer.
+// handle dispatches a call from a peer.
 func (s *Server) handle(ctx context.Context, kind string, body json.RawMessage) (any, error) {
 	switch kind {
 	case controlapi.KindRaft:
@@ -41,8 +41,8 @@
 	return nil, errors.Wrap(peer.ErrUnknownKind, kind)
 }
 
-// handleRaft queues a consensus message. A full queue loses it, as a network
-// may.
+// handleRaft queues a Raft message. It drops the message if the queue is full; Raft tolerates
+// lost messages.
 func (s *Server) handleRaft(m raft.Message) (struct{}, error) {
 	s.loop.Offer(func(now time.Duration) { s.core.Step(now, m) })
 	return struct{}{}, nil
@@ -56,32 +56,32 @@
 	return reply, nil
 }
 
-type submitted struct {
+type proposalResult struct {
 	result state.Result
 	err    error
 }
 
-// handleSubmit runs a command through the log and waits for its result. The
-// trust of this node's settings goes with the command.
+// handleSubmit proposes a command and waits for its result. It adds the trust from the
+// settings of this node to the command.
 func (s *Server) handleSubmit(ctx context.Context, r controlapi.SubmitRequest) (controlapi.SubmitReply, error) {
 	command := r.Command
 	command.At = time.Now().UnixMilli()
 	s.addBootstrap(&command)
-	done := make(chan submitted, 1)
-	var refused error
+	done := make(chan proposalResult, 1)
+	var proposeErr error
 	var leader string
 	ran := s.loop.Do(ctx, func(now time.Duration) {
-		refused = s.core.Propose(now, command, func(result state.Result, err error) { done <- submitted{result, err} })
+		proposeErr = s.core.Propose(now, command, func(result state.Result, err error) { done <- proposalResult{result, err} })
 		leader = s.core.leaderAddress()
 	})
 	if !ran {
 		return controlapi.SubmitReply{}, ErrStopping
 	}
-	if errors.Is(refused, raft.ErrNotLeader) {
+	if errors.Is(proposeErr, raft.ErrNotLeader) {
 		return controlapi.SubmitReply{NotLeader: true, Leader: leader}, nil
 	}
-	if refused != nil {
-		return controlapi.SubmitReply{}, refused
+	if proposeErr != nil {
+		return controlapi.SubmitReply{}, proposeErr
 	}
 	select {
 	case outcome := <-done:
@@ -103,7 +103,7 @@
 	}
 }
 
-// acknowledge runs a change on the leader.
+// acknowledge runs change on the owner of the core and converts its error into a reply.
 func (s *Server) acknowledge(ctx context.Context, change func(now time.Duration) error) (controlapi.Acknowledgement, error) {
 	var err error
 	var leader string
@@ -142,14 +142,14 @@
 		Claims:     c.machine.ClaimCount(),
 	}
 	if head := c.machine.Head(); head != nil {
-		reply.Accepted = stampOf(head)
+		reply.Accepted = bundleIDOf(head)
 		if r.Head {
 			reply.Head = head.Canonical
 		}
 	}
 	if pending := c.machine.Pending(); pending != nil {
-		stamp := stampOf(pending)
-		reply.Pending = &stamp
+		id := bundleIDOf(pending)
+		reply.Pending = &id
 		reply.Staged = pending.Stage != 0
 		for operator := range pending.Signatures {
 			reply.SignedBy = append(reply.SignedBy, operator)
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -7,38 +7,39 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// leaseSlack is how much longer than granted the leader takes a lease to last,
-// as a divisor: a quarter covers clocks that drift apart by as much.
-const leaseSlack = 4
+// leaseMarginDivisor sets the safety margin on a lease: the leader waits a quarter longer than
+// the duration granted, which tolerates clocks that run at different rates.
+const leaseMarginDivisor = 4
 
-// leaseTable is the leader's soft knowledge of routers. A new leader starts
-// with none and waits out the leases that its predecessor may have granted.
+// leaseTable is the leader's volatile state about routers. A new leader starts with an empty
+// table and waits until every lease of its predecessor has expired.
 type leaseTable struct {
-	leading bool
-	since   time.Duration
-	routers map[string]*routerLease
-	// proposed is the stage whose acceptance was proposed, or 0.
-	proposed uint64
-	// admitting says that an admission is under way.
+	leading     bool
+	leaderSince time.Duration
+	routers     map[string]*routerLease
+	// proposedStage is the stage whose acceptance was proposed, or 0.
+	proposedStage uint64
+	// admitting is true while an admission is being proposed.
 	admitting bool
-	// registering are routers whose registration is under way.
+	// registering holds the names of routers whose registration is being proposed.
 	registering map[string]bool
 }
 
+// routerLease is the lease of a router and what its last heartbeat reported.
 type routerLease struct {
-	expires  time.Duration
-	heard    time.Duration
-	inForce  controlapi.BundleID
-	stage    uint64
-	registry uint64
+	expires     time.Duration
+	heartbeatAt time.Duration
+	inForce     controlapi.BundleID
+	stage       uint64
+	registry    uint64
 }
 
 func (t *leaseTable) reset(now time.Duration) {
-	*t = leaseTable{since: now, routers: map[string]*routerLease{}, registering: map[string]bool{}}
+	*t = leaseTable{leaderSince: now, routers: map[string]*routerLease{}, registering: map[string]bool{}}
 }
 
-// Lease renews a router's lease. Only a leader that holds its own lease
-// grants any.
+// Lease renews a router's lease. It grants one only while this node is the leader and holds a
+// valid leader lease.
 func (c *Core) Lease(now time.Duration, r controlapi.LeaseRequest) controlapi.LeaseReply {
 	if !c.node.HoldsLease(now) {
 		return controlapi.LeaseReply{Leader: c.leaderAddress()}
@@ -49,32 +50,32 @@
 		c.registerRouter(now, r.Router)
 		return controlapi.LeaseReply{Leading: true}
 	}
-	reply := controlapi.LeaseReply{Leading: true, Offers: c.offers(r), Accepted: c.headStamp()}
+	reply := controlapi.LeaseReply{Leading: true, Offers: c.offers(r), Accepted: c.headID()}
 	if r.Registry != registry.Version {
 		current := registry.Clone()
 		reply.Registry = &current
 	}
 	if _, member := registry.Members[r.Router.Name]; !member {
-		// A joining router counts in no majority yet, so it gets no lease: an
-		// acceptance could pass it by.
-		c.note(now, r, now)
+		// A joining router is in no majority yet, so that a bundle could be accepted without
+		// its acknowledgement. It gets no lease until it is admitted.
+		c.recordHeartbeat(now, r, now)
 		return reply
 	}
 	reply.Granted, reply.Duration = true, c.config.Lease
-	c.note(now, r, now+c.config.Lease+c.config.Lease/leaseSlack)
+	c.recordHeartbeat(now, r, now+c.config.Lease+c.config.Lease/leaseMarginDivisor)
 	return reply
 }
 
-// note remembers what a router said, and until when its lease lasts.
-func (c *Core) note(now time.Duration, r controlapi.LeaseRequest, expires time.Duration) {
+// recordHeartbeat stores the content of a router's heartbeat and the expiry of its lease.
+func (c *Core) recordHeartbeat(now time.Duration, r controlapi.LeaseRequest, expires time.Duration) {
 	c.leases.routers[r.Router.Name] = &routerLease{
-		expires:  expires,
-		heard:    now,
-		inForce:  r.InForce,
-		stage:    r.Stage,
-		registry: r.Registry,
+		expires:     expires,
+		heartbeatAt: now,
+		inForce:     r.InForce,
+		stage:       r.Stage,
+		registry:    r.Registry,
 	}
-	c.rollout(now)
+	c.advanceRollout(now)
 	c.admit(now)
 }
 
@@ -89,19 +90,19 @@
 	}
 }
 
-// admit proposes that joining routers count, once the majorities of both the
-// old and the new registry know of it and of the bundle in force.
+// admit proposes the admission of joining routers once majorities of both the old and the new
+// registry have the current registry and the bundle in force.
 func (c *Core) admit(now time.Duration) {
 	registry := c.machine.Registry()
 	if len(registry.Joining) == 0 || c.leases.admitting || !c.node.HoldsLease(now) {
 		return
 	}
-	head := c.headStamp()
-	informed := func(name string) bool {
-		said := c.leases.routers[name]
-		return said != nil && said.registry == registry.Version && said.inForce.Version >= head.Version
+	head := c.headID()
+	upToDate := func(name string) bool {
+		lease := c.leases.routers[name]
+		return lease != nil && lease.registry == registry.Version && lease.inForce.Version >= head.Version
 	}
-	if !registry.HasMajority(informed) {
+	if !registry.HasMajority(upToDate) {
 		return
 	}
 	command := state.Command{Admit: &state.Admit{Version: registry.Version, Head: head.Digest}}
@@ -109,14 +110,15 @@
 	c.leases.admitting = err == nil
 }
 
-// headStamp returns the stamp of the bundle in force, zero for none.
-func (c *Core) headStamp() controlapi.BundleID {
+// headID returns the ID of the bundle in force, or the zero ID if there is none.
+func (c *Core) headID() controlapi.BundleID {
 	if head := c.machine.Head(); head != nil {
-		return stampOf(head)
+		return bundleIDOf(head)
 	}
 	return controlapi.BundleID{}
 }
 
+// leaderAddress returns the address of the leader, or "" if it is unknown or this node.
 func (c *Core) leaderAddress() string {
 	status := c.node.Status()
 	if status.Leader == 0 || status.Leader == status.ID {
@@ -125,33 +127,33 @@
 	return status.Membership.Addresses[status.Leader]
 }
 
-// rollout proposes the acceptance of the staged bundle once no router can go on
-// serving by an older one:
+// advanceRollout proposes the acceptance of the staged bundle once no router can continue to
+// serve an older one:
 //
-//   - a majority of the registered routers has the bundle durable, so that any
-//     majority of routers that lose control together knows of it, and
-//   - every other router's lease has run out.
-func (c *Core) rollout(now time.Duration) {
+//   - a majority of the registered routers has stored the bundle, so that any majority of
+//     routers that loses control has a member with the bundle, and
+//   - the lease of every other router has expired.
+func (c *Core) advanceRollout(now time.Duration) {
 	pending := c.machine.Pending()
-	if pending == nil || pending.Stage == 0 || c.leases.proposed == pending.Stage || !c.node.HoldsLease(now) {
+	if pending == nil || pending.Stage == 0 || c.leases.proposedStage == pending.Stage || !c.node.HoldsLease(now) {
 		return
 	}
-	if !c.mayAccept(now, pending.Stage) {
+	if !c.canAccept(now, pending.Stage) {
 		return
 	}
 	command := state.Command{Accept: &state.Accept{Digest: pending.Digest, Stage: pending.Stage}}
 	stage := pending.Stage
 	err := c.Propose(now, command, func(_ state.Result, err error) {
-		if err != nil && c.leases.proposed == stage {
-			c.leases.proposed = 0
+		if err != nil && c.leases.proposedStage == stage {
+			c.leases.proposedStage = 0
 		}
 	})
 	if err == nil {
-		c.leases.proposed = stage
+		c.leases.proposedStage = stage
 	}
 }
 
-func (c *Core) mayAccept(now time.Duration, stage uint64) bool {
+func (c *Core) canAccept(now time.Duration, stage uint64) bool {
 	members := c.machine.Registry().Members
 	acknowledged := 0
 	for name := range members {
@@ -159,36 +161,36 @@
 		switch {
 		case lease != nil && lease.stage == stage:
 			acknowledged++
-		case !c.leaseOver(now, lease):
+		case !c.leaseExpired(now, lease):
 			return false
 		}
 	}
 	return len(members) == 0 || acknowledged > len(members)/2
 }
 
-// leaseOver tells whether a router's lease has surely ended. Without a record
-// it may have been granted by an earlier leader just before this one's time.
-func (c *Core) leaseOver(now time.Duration, lease *routerLease) bool {
+// leaseExpired reports whether a router's lease has certainly expired. A router without an
+// entry may have been granted a lease by the previous leader just before this one took over.
+func (c *Core) leaseExpired(now time.Duration, lease *routerLease) bool {
 	if lease != nil {
 		return now >= lease.expires
 	}
-	return now >= c.leases.since+c.config.Lease+c.config.Lease/leaseSlack
+	return now >= c.leases.leaderSince+c.config.Lease+c.config.Lease/leaseMarginDivisor
 }
 
-// Routers returns what the leader knows of each registered router, by name.
+// Routers returns the status of each registered router, ordered by name.
 func (c *Core) Routers(now time.Duration) []controlapi.RouterStatus {
 	registry := c.machine.Registry()
 	var out []controlapi.RouterStatus
 	for _, router := range registry.All() {
 		_, joining := registry.Joining[router.Name]
-		place := controlapi.RouterStatus{Router: router, Joining: joining, HeartbeatAge: -1}
+		status := controlapi.RouterStatus{Router: router, Joining: joining, HeartbeatAge: -1}
 		if lease := c.leases.routers[router.Name]; lease != nil {
-			place.Leased = now < lease.expires
-			place.InForce = lease.inForce
-			place.Stage = lease.stage
-			place.HeartbeatAge = (now - lease.heard).Seconds()
+			status.Leased = now < lease.expires
+			status.InForce = lease.inForce
+			status.Stage = lease.stage
+			status.HeartbeatAge = (now - lease.heartbeatAt).Seconds()
 		}
-		out = append(out, place)
+		out = append(out, status)
 	}
 	return out
 }
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -8,48 +8,48 @@
 	"quinceridge.example/quinceridge/internal/raft"
 )
 
-// Batching of work between two syncs of the disk.
+// Limits of the event queue and of the events that share a disk sync.
 const (
-	eventQueue = 4096
-	eventBatch = 512
+	eventQueueSize = 4096
+	maxEventBatch  = 512
 )
 
-// Loop hands functions to the one goroutine that owns a Core.
+// Loop passes functions to the goroutine that owns a Core.
 type Loop struct {
-	// first goes before events.
-	first   chan func(now time.Duration)
-	events  chan func(now time.Duration)
-	stopped chan struct{}
-	clock   func() time.Duration
+	// priority is drained before events.
+	priority chan func(now time.Duration)
+	events   chan func(now time.Duration)
+	stopped  chan struct{}
+	clock    func() time.Duration
 }
 
-// NewLoop returns a loop by a monotonic clock.
+// NewLoop returns a loop that reads the time from clock, which must be monotonic.
 func NewLoop(clock func() time.Duration) *Loop {
-	return &Loop{first: make(chan func(time.Duration), eventQueue), events: make(chan func(time.Duration), eventQueue), stopped: make(chan struct{}), clock: clock}
+	return &Loop{priority: make(chan func(time.Duration), eventQueueSize), events: make(chan func(time.Duration), eventQueueSize), stopped: make(chan struct{}), clock: clock}
 }
 
-// Events are the functions that wait. The owner runs each with Run.
+// Events returns the queue of events. The owner passes each event to Run.
 func (l *Loop) Events() <-chan func(now time.Duration) { return l.events }
 
-// PriorityEvents are those that were offered to be run before all Events.
-func (l *Loop) PriorityEvents() <-chan func(now time.Duration) { return l.first }
+// PriorityEvents returns the queue of events that run before those of Events.
+func (l *Loop) PriorityEvents() <-chan func(now time.Duration) { return l.priority }
 
-// Run runs an event and those that wait behind it, so that they share a sync.
+// Run runs event and up to maxEventBatch queued events, which share a disk sync.
 func (l *Loop) Run(event func(now time.Duration)) {
 	event(l.clock())
-	for range eventBatch {
-		event, waits := l.next()
-		if !waits {
+	for range maxEventBatch {
+		event, queued := l.next()
+		if !queued {
 			return
 		}
 		event(l.clock())
 	}
 }
 
-// next returns an event that waits, the first ones before the others.
-func (l *Loop) next() (event func(now time.Duration), waits bool) {
+// next returns a queued event, priority events first.
+func (l *Loop) next() (event func(now time.Duration), queued bool) {
 	select {
-	case event = <-l.first:
+	case event = <-l.priority:
 		return event, true
 	default:
 	}
@@ -61,16 +61,16 @@
 	}
 }
 
-// OfferPriority queues a function before those of Offer and Do, without waiting for it. A
-// full queue loses it.
+// OfferPriority queues an event to run before those of Offer and Do. It does not block, and
+// drops the event if the queue is full.
 func (l *Loop) OfferPriority(event func(now time.Duration)) {
 	select {
-	case l.first <- event:
+	case l.priority <- event:
 	default:
 	}
 }
 
-// Offer queues a function without waiting for it. A full queue loses it.
+// Offer queues an event. It does not block, and drops the event if the queue is full.
 func (l *Loop) Offer(event func(now time.Duration)) {
 	select {
 	case l.events <- event:
@@ -78,20 +78,20 @@
 	}
 }
 
-// MarkStopped says that the owner runs no more events.
+// MarkStopped closes the channel of Stopped. The owner calls it when it runs no more events.
 func (l *Loop) MarkStopped() { close(l.stopped) }
 
-// Stopped is closed by End.
+// Stopped returns a channel that is closed when the owner runs no more events.
 func (l *Loop) Stopped() <-chan struct{} { return l.stopped }
 
-// Do runs a function on the owner's goroutine and waits for it. It returns
-// false when the owner has stopped or the context ended first; the function was not
-// run then and never will be, so that it may write what its caller goes on to read.
+// Do runs work on the owner's goroutine and waits for it. It returns false if the owner
+// stopped or ctx ended first. In that case work has not run and never will, so that work may
+// write variables that the caller reads after Do.
 func (l *Loop) Do(ctx context.Context, work func(now time.Duration)) bool {
 	done := make(chan struct{})
-	var claimed atomic.Bool
+	var started atomic.Bool
 	event := func(now time.Duration) {
-		if claimed.Swap(true) {
+		if started.Swap(true) {
 			return
 		}
 		work(now)
@@ -110,32 +110,33 @@
 	case <-ctx.Done():
 	case <-l.stopped:
 	}
-	if !claimed.Swap(true) {
+	if !started.Swap(true) {
 		return false
 	}
 	<-done
 	return true
 }
 
-// StepDown gives leadership to the voter that is furthest, so that a planned
-// stop costs no election timeout. It returns when the core leads no more.
+// StepDown transfers leadership to the most up-to-date voter, so that a planned stop causes no
+// election timeout. It returns when the core is not the leader or ctx ends.
 func (l *Loop) StepDown(ctx context.Context, core func() *Core, tick time.Duration) {
 	leading := false
-	l.Do(ctx, func(time.Duration) { leading = core().offerLeadership() })
+	l.Do(ctx, func(time.Duration) { leading = core().stepDown() })
 	for leading && ctx.Err() == nil {
 		time.Sleep(tick)
 		l.Do(ctx, func(time.Duration) { leading = core().Status().Role == raft.Leader })
 	}
 }
 
-// offerLeadership starts a hand-over, if this node leads and has a successor.
-func (c *Core) offerLeadership() bool {
+// stepDown starts a transfer of leadership and reports whether it did: the node must be the
+// leader and have a successor.
+func (c *Core) stepDown() bool {
 	status := c.Status()
-	best := uint64(0)
+	successor := uint64(0)
 	for id, match := range status.Match {
-		if status.Membership.IsVoter(id) && (best == 0 || match > status.Match[best]) {
-			best = id
+		if status.Membership.IsVoter(id) && (successor == 0 || match > status.Match[successor]) {
+			successor = id
 		}
 	}
-	return best != 0 && c.TransferLeadership(best) == nil
+	return successor != 0 && c.TransferLeadership(successor) == nil
 }
--- a/internal/control/loop_test.go
+++ b/internal/control/loop_test.go
@@ -8,16 +8,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// A caller that had given up went on while its function was still queued: that ran later
-// and wrote what the caller was reading, or an answer that had been sent.
-func TestWorkThatItsCallerGaveUpIsNotRun(t *testing.T) {
+// Guards against work that runs after its caller has returned and writes variables that the
+// caller reads.
+func TestDoSkipsWorkOfCanceledCaller(t *testing.T) {
 	l := NewLoop(func() time.Duration { return 0 })
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	ran := false
 	for range 20 {
 		if l.Do(ctx, func(time.Duration) { ran = true }) {
-			t.Fatal("nobody runs it")
+			t.Fatal("Do returned true without an owner to run the work")
 		}
 	}
 	for len(l.Events()) > 0 {
@@ -26,8 +26,7 @@
 	assert.Assert(t, !ran)
 }
 
-// One whose function has begun waits for its end.
-func TestWorkThatHasBegunIsWaitedFor(t *testing.T) {
+func TestDoWaitsForStartedWorkAfterCancellation(t *testing.T) {
 	l := NewLoop(func() time.Duration { return 0 })
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { l.Run(<-l.Events()) }()
@@ -41,8 +40,8 @@
 	assert.Assert(t, finished)
 }
 
-// Messages of the consensus waited behind what thousands of back ends asked.
-func TestWhatGoesFirstRunsBeforeTheRest(t *testing.T) {
+// Guards against Raft messages that are delayed by the requests of many back ends.
+func TestPriorityEventsRunBeforeOthers(t *testing.T) {
 	l := NewLoop(func() time.Duration { return 0 })
 	var order []string
 	note := func(what string) func(time.Duration) {
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -7,7 +7,7 @@
 	"quinceridge.example/quinceridge/internal/raft"
 )
 
-// serverMetrics are the figures of a control node.
+// serverMetrics are the metrics of a control node.
 type serverMetrics struct {
 	leading prometheus.Gauge
 	term    prometheus.Gauge
--- a/internal/control/offers.go
+++ b/internal/control/offers.go
@@ -6,12 +6,11 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-func stampOf(p *state.Proposal) controlapi.BundleID {
+func bundleIDOf(p *state.Proposal) controlapi.BundleID {
 	return controlapi.BundleID{Version: p.Version, Digest: p.Digest}
 }
 
-// offers returns the bundles that the router lacks: the accepted one, and the
-// staged one.
+// offers returns the accepted and the staged bundle, each only if the router lacks it.
 func (c *Core) offers(r controlapi.LeaseRequest) []controlapi.Offer {
 	var out []controlapi.Offer
 	bases := []string{r.Staged.Digest, r.InForce.Digest}
@@ -27,12 +26,13 @@
 	return out
 }
 
-// offer makes a delta to a bundle that the router has, or sends the whole.
+// offer returns a delta against a bundle that the router has, or the full bundle if none of
+// them is cached.
 func (c *Core) offer(p *state.Proposal, bases []string) controlapi.Offer {
 	if head := c.machine.Head(); head != nil {
-		c.deltas.keep(head)
+		c.deltas.addBase(head)
 	}
-	o := controlapi.Offer{BundleID: stampOf(p), Stage: p.Stage}
+	o := controlapi.Offer{BundleID: bundleIDOf(p), Stage: p.Stage}
 	for _, base := range bases {
 		if delta := c.deltas.delta(base, p); delta != nil {
 			o.Base, o.Delta = base, delta
@@ -43,38 +43,39 @@
 	return o
 }
 
-// keptTexts is how many bundle texts serve as bases for deltas.
-const keptTexts = 4
+// maxDeltaBases is the maximum number of bundles kept as bases of deltas.
+const maxDeltaBases = 4
 
 type deltaKey struct{ from, to string }
 
-// deltaCache remembers recent bundle texts and the deltas made of them. It is
-// soft: a router without a known base gets the whole bundle.
+// deltaCache keeps recent bundles and the deltas computed from them. It is volatile: a router
+// whose base is missing gets the full bundle.
 type deltaCache struct {
-	texts  []*state.Proposal
+	bases  []*state.Proposal
 	deltas map[deltaKey][]byte
 }
 
-func (d *deltaCache) keep(p *state.Proposal) {
-	for _, t := range d.texts {
+func (d *deltaCache) addBase(p *state.Proposal) {
+	for _, t := range d.bases {
 		if t.Digest == p.Digest {
 			return
 		}
 	}
-	d.texts = append(d.texts, p)
-	if len(d.texts) > keptTexts {
-		d.texts = d.texts[1:]
+	d.bases = append(d.bases, p)
+	if len(d.bases) > maxDeltaBases {
+		d.bases = d.bases[1:]
 		d.deltas = nil
 	}
 }
 
-// delta returns nil when the base is not known.
+// delta returns the delta from base to the given bundle, or nil if base is not cached or the
+// delta cannot be computed.
 func (d *deltaCache) delta(base string, to *state.Proposal) []byte {
 	key := deltaKey{base, to.Digest}
 	if delta, ok := d.deltas[key]; ok {
 		return delta
 	}
-	for _, t := range d.texts {
+	for _, t := range d.bases {
 		if t.Digest != base {
 			continue
 		}
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	// orderInterval is the time between two looks at what engines should load.
+	// orderInterval is the interval between two checks for engines to load weights.
 	orderInterval = time.Second
-	// orderRepeat is how long an engine is left alone after an order.
-	orderRepeat = 15 * time.Second
-	// loadingShare bounds how many engines of a model load at once, as a
-	// divisor: one in four, and at least one.
-	loadingShare = 4
-	orderTimeout = 3 * time.Second
+	// orderRetryInterval is the minimum time between two orders to the same engine.
+	orderRetryInterval = 15 * time.Second
+	// loadingDivisor limits how many engines of a model load at once: a quarter of them, but
+	// at least one.
+	loadingDivisor = 4
+	orderTimeout   = 3 * time.Second
 )
 
-// orderKeeper is the leader's soft knowledge of orders under way.
-type orderKeeper struct {
+// orderTracker is the leader's volatile record of the orders sent.
+type orderTracker struct {
 	client *http.Client
-	given  map[string]time.Duration // by engine
+	sentAt map[string]time.Duration // by engine
 }
 
-func newOrderKeeper() *orderKeeper {
-	return &orderKeeper{client: &http.Client{Timeout: orderTimeout}, given: map[string]time.Duration{}}
+func newOrderTracker() *orderTracker {
+	return &orderTracker{client: &http.Client{Timeout: orderTimeout}, sentAt: map[string]time.Duration{}}
 }
 
-// wantedLoads returns the engines that should load newer weights now, a part of
-// each model's engines at a time so that the others go on.
-func (k *orderKeeper) wantedLoads(now time.Duration, b *bundle.Bundle, machines []controlapi.Machine) []controlapi.Machine {
+// dueLoads returns the engines that should load newer weights now. It limits how many engines
+// of a model load at once, so that the others continue to serve.
+func (t *orderTracker) dueLoads(now time.Duration, b *bundle.Bundle, machines []controlapi.Machine) []controlapi.Machine {
 	engines, loading := map[string]int{}, map[string]int{}
-	var behind []controlapi.Machine
+	var outdated []controlapi.Machine
 	for _, m := range machines {
 		model, known := b.Models[m.Model]
 		if m.Role != controlapi.RoleEngine || !known || m.Incarnation == "" || m.Leaving {
@@ -50,15 +50,15 @@
 		if m.WeightsVersion >= model.TargetWeightsVersion {
 			continue
 		}
-		if given, ordered := k.given[m.ID]; ordered && now-given < orderRepeat {
+		if sentAt, ordered := t.sentAt[m.ID]; ordered && now-sentAt < orderRetryInterval {
 			loading[m.Model]++
 			continue
 		}
-		behind = append(behind, m)
+		outdated = append(outdated, m)
 	}
 	var out []controlapi.Machine
-	for _, m := range behind {
-		if loading[m.Model] < max(engines[m.Model]/loadingShare, 1) {
+	for _, m := range outdated {
+		if loading[m.Model] < max(engines[m.Model]/loadingDivisor, 1) {
 			loading[m.Model]++
 			out = append(out, m)
 		}
@@ -66,11 +66,11 @@
 	return out
 }
 
-// runOrders lets the leader order engines to load weights, until the context
-// ends.
+// runOrders orders engines to load weights while this node is the leader, until ctx ends or
+// the node stops.
 func (s *Server) runOrders(ctx context.Context) {
-	keeper := newOrderKeeper()
-	defer keeper.client.CloseIdleConnections()
+	tracker := newOrderTracker()
+	defer tracker.client.CloseIdleConnections()
 	ticker := time.NewTicker(orderInterval)
 	defer ticker.Stop()
 	for {
@@ -80,12 +80,12 @@
 		case <-s.loop.Stopped():
 			return
 		case <-ticker.C:
-			s.giveOrders(ctx, keeper)
+			s.sendOrders(ctx, tracker)
 		}
 	}
 }
 
-func (s *Server) giveOrders(ctx context.Context, keeper *orderKeeper) {
+func (s *Server) sendOrders(ctx context.Context, tracker *orderTracker) {
 	var head *state.Proposal
 	s.loop.Do(ctx, func(now time.Duration) {
 		if s.core.HoldsLease(now) {
@@ -99,37 +99,36 @@
 	if err != nil {
 		return
 	}
-	for _, m := range keeper.wantedLoads(s.now(), b, s.inventory.Machines()) {
-		keeper.given[m.ID] = s.now()
+	for _, m := range tracker.dueLoads(s.now(), b, s.inventory.Machines()) {
+		tracker.sentAt[m.ID] = s.now()
 		order := engineapi.Order{Kind: engineapi.OrderLoad, Incarnation: m.Incarnation, Model: m.Model, WeightsVersion: b.Models[m.Model].TargetWeightsVersion}
-		if err := s.giveOrder(ctx, keeper, m, order); err != nil {
-			s.logger.Warn("order was not given", "engine", m.ID, "error", err)
+		if err := s.sendOrder(ctx, tracker, m, order); err != nil {
+			s.logger.Warn("failed to send order", "engine", m.ID, "error", err)
 		}
 	}
 }
 
-// giveOrder records an order in the log and sends it with the fence that its
-// place in the log gives. An order that is late meets an engine which has seen
-// a higher fence.
-func (s *Server) giveOrder(ctx context.Context, keeper *orderKeeper, m controlapi.Machine, order engineapi.Order) error {
+// sendOrder commits an order to the log and sends it to the engine with the fencing token of
+// its log entry. An engine rejects an order whose token is lower than one it has seen.
+func (s *Server) sendOrder(ctx context.Context, tracker *orderTracker, m controlapi.Machine, order engineapi.Order) error {
 	command := state.Command{Order: &state.Order{Engine: m.ID, Order: order}}
 	reply, err := s.handleSubmit(ctx, controlapi.SubmitRequest{Command: command})
 	if err != nil {
 		return err
 	}
 	if reply.NotLeader {
-		return errors.New("this node leads no more")
+		return errors.New("not the leader anymore")
 	}
 	order.Fence = reply.Result.Fence
-	answer, err := keeper.send(ctx, m.Address, order)
+	orderReply, err := tracker.send(ctx, m.Address, order)
 	if err != nil {
 		return err
 	}
-	s.logger.Info("order given", "engine", m.ID, "kind", string(order.Kind), "weights", order.WeightsVersion, "accepted", answer.Accepted)
+	s.logger.Info("order sent", "engine", m.ID, "kind", string(order.Kind), "weights", order.WeightsVersion, "accepted", orderReply.Accepted)
 	return nil
 }
 
-func (k *orderKeeper) send(ctx context.Context, address string, order engineapi.Order) (engineapi.OrderReply, error) {
+func (t *orderTracker) send(ctx context.Context, address string, order engineapi.Order) (engineapi.OrderReply, error) {
 	var reply engineapi.OrderReply
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -137,15 +136,15 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+engineapi.PathOrders, bytes.NewReader(body))
 	if err != nil {
-		return reply, errors.Wrap(err, "build order")
+		return reply, errors.Wrap(err, "create order request")
 	}
-	response, err := k.client.Do(request)
+	response, err := t.client.Do(request)
 	if err != nil {
 		return reply, errors.Wrap(err, "send order")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return reply, errors.Newf("engine answered the order with %d", response.StatusCode)
+		return reply, errors.Newf("engine responded to the order with status %d", response.StatusCode)
 	}
-	return reply, errors.Wrap(json.NewDecoder(response.Body).Decode(&reply), "decode answer")
+	return reply, errors.Wrap(json.NewDecoder(response.Body).Decode(&reply), "decode order reply")
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -22,8 +22,8 @@
 	"quinceridge.example/quinceridge/internal/telemetry"
 )
 
-// Durations in ticks. The lease is below the election timeout by a fifth, which
-// bounds how far clocks may drift apart meanwhile.
+// Timeouts in ticks. The lease is a fifth shorter than the election timeout, which bounds the
+// tolerated difference in clock rates.
 const (
 	heartbeatTicks = 2
 	leaseTicks     = 16
@@ -35,8 +35,8 @@
 	statusInterval = 250 * time.Millisecond
 )
 
-// Server is a running control node: a Core with sockets, a clock and a disk.
-// One goroutine owns the Core; all others hand it functions to run.
+// Server is a running control node: a Core with sockets, a clock and a disk. A single
+// goroutine owns the Core; the others pass functions to it through the loop.
 type Server struct {
 	settings  settings.Control
 	logger    *slog.Logger
@@ -54,8 +54,7 @@
 	lastRole  raft.Role
 }
 
-// NewServer provisions a node: it opens the data folder and reads what it
-// holds. Start runs it.
+// NewServer opens the data directory and restores its state. Start runs the node.
 func NewServer(config settings.Control, logger *slog.Logger) (*Server, error) {
 	s := &Server{settings: config, logger: telemetry.Part(logger, "control"), counters: &peer.Counters{},
 		started: clock.Now()}
@@ -94,11 +93,11 @@
 	}
 }
 
-// now is the node's own monotonic clock. It goes on while the process is
-// stopped by a signal.
+// now returns the time since the node was created, by a monotonic clock that continues while
+// the process is suspended.
 func (s *Server) now() time.Duration { return clock.Since(s.started) }
 
-// Start opens the sockets and begins to take part.
+// Start opens the sockets and starts the goroutines of the node.
 func (s *Server) Start() error {
 	listener, err := net.Listen("tcp", s.settings.Listen)
 	if err != nil {
@@ -123,25 +122,24 @@
 	return nil
 }
 
-// Done is closed when the node has stopped by itself, after a failure of its
-// disk.
+// Done returns a channel that is closed when the node has stopped, also after a disk failure.
 func (s *Server) Done() <-chan struct{} { return s.loop.Stopped() }
 
-// Failure says why the node stopped by itself.
+// Failure returns the error that stopped the node, or nil. Call it only after Done is closed.
 func (s *Server) Failure() error { return s.failure }
 
-// Stop hands over leadership, if any, and ends the node.
+// Stop transfers leadership if the node is the leader, and shuts the node down.
 func (s *Server) Stop(ctx context.Context) error {
 	s.loop.StepDown(ctx, func() *Core { return s.core }, s.settings.Tick)
-	err := s.end()
+	err := s.shutdown()
 	s.logger.Info("stopped")
 	return err
 }
 
-// Kill ends the node without handing over, as a crash would.
-func (s *Server) Kill() { _ = s.end() }
+// Kill shuts the node down without a transfer of leadership, as a crash would.
+func (s *Server) Kill() { _ = s.shutdown() }
 
-func (s *Server) end() error {
+func (s *Server) shutdown() error {
 	s.cancel()
 	<-s.loop.Stopped()
 	s.listener.Close()
@@ -150,7 +148,7 @@
 	return errors.CombineErrors(s.failure, s.core.Close())
 }
 
-// run owns the core. It groups waiting events so that they share a sync.
+// run owns the core. Queued events are run in batches that share a disk sync.
 func (s *Server) run(ctx context.Context) {
 	defer s.loop.MarkStopped()
 	ticker := time.NewTicker(s.settings.Tick)
@@ -167,11 +165,11 @@
 		messages, err := s.core.Pump(s.now())
 		if err != nil {
 			s.failure = err
-			s.logger.Error("disk failed; the node stops", "error", err)
+			s.logger.Error("disk failed, stopping the node", "error", err)
 			return
 		}
 		s.send(messages)
-		s.noteRole()
+		s.observeRole()
 	}
 }
 
@@ -184,7 +182,7 @@
 	}
 }
 
-func (s *Server) noteRole() {
+func (s *Server) observeRole() {
 	status := s.core.Status()
 	s.metrics.observe(status, s.core)
 	if status.Role == s.lastRole {
@@ -203,7 +201,7 @@
 	go func() { _ = s.status.Serve(listener) }()
 }
 
-// ready tells whether the node follows or is a leader.
+// ready reports whether the node is the leader or knows one.
 func (s *Server) ready(w http.ResponseWriter, r *http.Request) {
 	known := false
 	s.loop.Do(r.Context(), func(now time.Duration) {
