--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,18 +1,17 @@
-// Package agent is the router's side of the agreement with control: which
-// bundle is in force here, whether the router may take new work, and what it
-// does when control cannot be reached.
+// Package agent implements the router's side of the protocol with control: which bundle is in
+// force, whether the router may accept new requests, and what it does while control is
+// unreachable.
 //
-// An Agent is pure. The router process drives it with sockets, a clock and a
-// file; the simulator drives it with virtual ones. The caller must make
-// Durable durable, and call Saved, before it sends any message or takes any
-// work that follows a change.
+// An Agent does no I/O. The router process drives it with sockets, a clock and a file, the
+// simulator with virtual ones. Before the caller sends a message or accepts a request that
+// depends on a change, it must store PersistentState and call MarkSaved.
 //
-// The rule that keeps an accepted bundle in force everywhere: a router takes
-// new work only while it holds a lease from control, or for a short time after
-// a majority of all routers, itself included, said that they hold none. The
-// leader accepts a bundle only after a majority of the routers has it durable
-// and the leases of all others have run out. The two majorities share a router,
-// and that one tells of the bundle. spec/bundle.pml is the checked model.
+// The protocol keeps every router on the accepted bundle. A router accepts new requests only
+// while it holds a lease from control, or for a short time after a majority of all routers,
+// itself included, reported that they hold none. The leader accepts a bundle only after a
+// majority of the routers has stored it and the leases of all others have expired. The two
+// majorities share a router, which reports the bundle to the others. The model in
+// spec/bundle.pml checks this.
 package agent
 
 import (
@@ -22,34 +21,36 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// holdDuration is how long a router goes on after it asked a majority.
-const holdDuration = 2 * time.Second
+// peerMajorityDuration is how long a peer's report that it has no lease is valid, counted from
+// the request.
+const peerMajorityDuration = 2 * time.Second
 
-// PersistentState is what a router must never forget.
+// PersistentState is the state that a router must keep across restarts.
 type PersistentState struct {
 	InForce  *StoredBundle  `json:"in_force,omitempty"`
 	Staged   *StoredBundle  `json:"staged,omitempty"`
 	Registry state.Registry `json:"registry"`
 }
 
-// Mode says by what right the router takes new work.
+// Mode describes why the router may accept new requests, if it may.
 type Mode string
 
-// The modes of a router.
+// Modes of a router.
 const (
-	// ModeNone takes no new work: control may have counted the router out.
+	// ModeNone means that the router accepts no new requests, as control may already have
+	// accepted a newer bundle without it.
 	ModeNone Mode = "none"
-	// ModeLeased has a lease from control.
+	// ModeLeased means that the router has a lease from control.
 	ModeLeased Mode = "leased"
-	// ModePeerMajority goes on with a majority of the routers, control being lost to
-	// all of them.
+	// ModePeerMajority means that the router is in a majority of routers that have all lost
+	// control.
 	ModePeerMajority Mode = "held"
 )
 
-// unleased is another router's word that it holds no lease.
-type unleased struct {
-	until  time.Duration
-	newest uint64 // version of its highest bundle
+// peerWithoutLease is a peer's report that it holds no lease.
+type peerWithoutLease struct {
+	expires time.Duration
+	newest  uint64 // highest bundle version of the peer
 }
 
 // Agent is the state of one router. It is not safe for concurrent use.
@@ -58,51 +59,52 @@
 	durable  PersistentState
 	dirty    bool
 	leaseEnd time.Duration
-	// heardAt is when a request was sent that control answered, if any was.
-	heard   bool
-	heardAt time.Duration
-	others  map[string]unleased
-	// missing is a bundle that another router has and this one lacks, and
-	// source the router to get it from.
+	// answered reports whether the control leader has ever replied, answeredAt is when the
+	// latest request that it answered was sent.
+	answered   bool
+	answeredAt time.Duration
+	peers      map[string]peerWithoutLease
+	// missing is a bundle that a peer has and this router lacks, and source the name of that
+	// peer.
 	missing controlapi.BundleID
 	source  string
-	// wantWhole is set after an offer could not be applied.
-	wantWhole bool
+	// wantFull is set when an offer could not be applied, to request the full bundle.
+	wantFull bool
 }
 
-// New returns the agent of a router that starts at now with what its disk held.
-// It has no lease.
+// New returns the agent of a router that starts at now with the state from its disk. It has no
+// lease.
 func New(self state.Router, durable PersistentState, now time.Duration) *Agent {
 	durable.Registry = durable.Registry.Clone()
-	return &Agent{self: self, durable: durable, others: map[string]unleased{}, leaseEnd: now}
+	return &Agent{self: self, durable: durable, peers: map[string]peerWithoutLease{}, leaseEnd: now}
 }
 
-// PersistentState returns what must be made durable.
+// PersistentState returns the state to store.
 func (a *Agent) PersistentState() PersistentState { return a.durable }
 
-// Dirty tells whether Durable has changed since Saved.
+// Dirty reports whether PersistentState has changed since MarkSaved.
 func (a *Agent) Dirty() bool { return a.dirty }
 
-// MarkSaved says that Durable is durable.
+// MarkSaved records that PersistentState was stored durably.
 func (a *Agent) MarkSaved() { a.dirty = false }
 
-// InForce returns the bundle that the router serves by, or nil.
+// InForce returns the bundle that the router serves, or nil.
 func (a *Agent) InForce() *StoredBundle { return a.durable.InForce }
 
-// Mode tells whether the router may take new work at now.
+// Mode returns whether and why the router may accept new requests at now.
 func (a *Agent) Mode(now time.Duration) Mode {
 	switch {
 	case a.durable.InForce == nil:
 		return ModeNone
 	case now < a.leaseEnd:
 		return ModeLeased
-	case a.held(now):
+	case a.hasPeerMajority(now):
 		return ModePeerMajority
 	}
 	return ModeNone
 }
 
-// newest returns the highest bundle that the router has, or nil.
+// newest returns the bundle of the highest version that the router has, or nil.
 func (a *Agent) newest() *StoredBundle {
 	staged, inForce := a.durable.Staged, a.durable.InForce
 	if staged == nil || (inForce != nil && inForce.BundleID.Version >= staged.BundleID.Version) {
@@ -114,39 +116,40 @@
 // LeaseRequest returns the next heartbeat to control.
 func (a *Agent) LeaseRequest() controlapi.LeaseRequest {
 	r := controlapi.LeaseRequest{Router: a.self, Registry: a.durable.Registry.Version}
-	if a.wantWhole {
+	if a.wantFull {
 		return r
 	}
-	if held := a.durable.InForce; held != nil {
-		r.InForce = held.BundleID
+	if stored := a.durable.InForce; stored != nil {
+		r.InForce = stored.BundleID
 	}
-	if held := a.durable.Staged; held != nil {
-		r.Staged, r.Stage = held.BundleID, held.Stage
+	if stored := a.durable.Staged; stored != nil {
+		r.Staged, r.Stage = stored.BundleID, stored.Stage
 	}
 	return r
 }
 
-// HandleLeaseReply takes the answer to a request that was sent at the given time.
+// HandleLeaseReply processes the reply to a request that was sent at the given time. An error
+// means that an offered bundle could not be applied.
 func (a *Agent) HandleLeaseReply(sent time.Duration, reply controlapi.LeaseReply) error {
-	a.learnRegistry(reply.Registry)
+	a.updateRegistry(reply.Registry)
 	if reply.Leading {
-		a.heard, a.heardAt = true, max(a.heardAt, sent)
+		a.answered, a.answeredAt = true, max(a.answeredAt, sent)
 	}
-	a.wantWhole = false
+	a.wantFull = false
 	for _, offer := range reply.Offers {
-		if err := a.take(offer); err != nil {
-			a.wantWhole = true
+		if err := a.stage(offer); err != nil {
+			a.wantFull = true
 			return err
 		}
 	}
 	a.accept(reply.Accepted)
-	if reply.Granted && a.serves(reply.Accepted) {
+	if reply.Granted && a.isCurrent(reply.Accepted) {
 		a.leaseEnd = max(a.leaseEnd, sent+reply.Duration)
 	}
 	return nil
 }
 
-func (a *Agent) learnRegistry(registry *state.Registry) {
+func (a *Agent) updateRegistry(registry *state.Registry) {
 	if registry == nil || registry.Version <= a.durable.Registry.Version {
 		return
 	}
@@ -154,18 +157,18 @@
 	a.dirty = true
 }
 
-// accept puts the staged bundle in force when control has accepted it.
+// accept puts the staged bundle in force if it is the one that control has accepted.
 func (a *Agent) accept(accepted controlapi.BundleID) {
 	staged := a.durable.Staged
-	if staged == nil || staged.BundleID != accepted || a.serves(accepted) {
+	if staged == nil || staged.BundleID != accepted || a.isCurrent(accepted) {
 		return
 	}
 	a.durable.InForce = staged
 	a.dirty = true
 }
 
-// serves tells whether the bundle in force is the accepted one or a later one.
-func (a *Agent) serves(accepted controlapi.BundleID) bool {
-	held := a.durable.InForce
-	return accepted.Version == 0 || (held != nil && held.BundleID.Version >= accepted.Version)
+// isCurrent reports whether the bundle in force is the accepted one or a later one.
+func (a *Agent) isCurrent(accepted controlapi.BundleID) bool {
+	stored := a.durable.InForce
+	return accepted.Version == 0 || (stored != nil && stored.BundleID.Version >= accepted.Version)
 }
--- a/internal/agent/held.go
+++ b/internal/agent/held.go
@@ -9,11 +9,11 @@
 	"quinceridge.example/quinceridge/internal/controlapi"
 )
 
-// ErrUnusableOffer is returned for an offer that cannot be applied here. The router
-// asks for the whole bundle next.
+// ErrUnusableOffer is returned when the router lacks the base of a delta or the text does not
+// match its digest. The router then requests the full bundle.
 var ErrUnusableOffer = errors.New("offered bundle cannot be applied")
 
-// StoredBundle is a bundle that a router has.
+// StoredBundle is a bundle that a router has stored.
 type StoredBundle struct {
 	BundleID controlapi.BundleID `json:"stamp"`
 	// Stage is the log index at which the bundle was staged.
@@ -21,14 +21,14 @@
 	Canonical json.RawMessage `json:"canonical"`
 }
 
-// take stages an offered bundle. A bundle that is not above what the router
-// has changes nothing.
-func (a *Agent) take(offer controlapi.Offer) error {
+// stage stages an offered bundle. It ignores a bundle that is not newer than the newest one
+// here, except for its stage.
+func (a *Agent) stage(offer controlapi.Offer) error {
 	if newest := a.newest(); newest != nil && offer.BundleID.Version <= newest.BundleID.Version {
-		a.takeAgain(offer)
+		a.updateStage(offer)
 		return nil
 	}
-	canonical, err := a.rebuild(offer)
+	canonical, err := a.decodeOffer(offer)
 	if err != nil {
 		return err
 	}
@@ -37,39 +37,39 @@
 	return nil
 }
 
-// takeAgain handles an offer of a bundle that the router has staged. Its stage
-// may become known only now.
-func (a *Agent) takeAgain(offer controlapi.Offer) {
+// updateStage sets the stage of the staged bundle when that bundle is offered again with
+// another stage.
+func (a *Agent) updateStage(offer controlapi.Offer) {
 	staged := a.durable.Staged
 	if staged == nil || staged.BundleID != offer.BundleID || staged.Stage == offer.Stage || offer.Stage == 0 {
 		return
 	}
-	renewed := *staged
-	renewed.Stage = offer.Stage
+	updated := *staged
+	updated.Stage = offer.Stage
 	if a.durable.InForce == staged {
-		a.durable.InForce = &renewed
+		a.durable.InForce = &updated
 	}
-	a.durable.Staged = &renewed
+	a.durable.Staged = &updated
 	a.dirty = true
 }
 
-// rebuild returns the text of an offered bundle.
-func (a *Agent) rebuild(offer controlapi.Offer) (json.RawMessage, error) {
+// decodeOffer returns the text of an offered bundle.
+func (a *Agent) decodeOffer(offer controlapi.Offer) (json.RawMessage, error) {
 	if offer.Base == "" {
 		if bundle.Digest(offer.Full) != offer.BundleID.Digest {
-			return nil, errors.Wrap(ErrUnusableOffer, "the text has another digest")
+			return nil, errors.Wrap(ErrUnusableOffer, "text does not match the digest")
 		}
 		return offer.Full, nil
 	}
-	for _, held := range []*StoredBundle{a.durable.Staged, a.durable.InForce} {
-		if held == nil || held.BundleID.Digest != offer.Base {
+	for _, stored := range []*StoredBundle{a.durable.Staged, a.durable.InForce} {
+		if stored == nil || stored.BundleID.Digest != offer.Base {
 			continue
 		}
-		canonical, err := bundle.Patch(held.Canonical, offer.Delta, offer.BundleID.Digest)
+		canonical, err := bundle.Patch(stored.Canonical, offer.Delta, offer.BundleID.Digest)
 		if err != nil {
 			return nil, errors.Mark(err, ErrUnusableOffer)
 		}
 		return canonical, nil
 	}
-	return nil, errors.Wrap(ErrUnusableOffer, "the base of the delta is not here")
+	return nil, errors.Wrap(ErrUnusableOffer, "base of the delta is missing")
 }
--- a/internal/agent/hold.go
+++ b/internal/agent/hold.go
@@ -7,35 +7,35 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// controlSilence is how long control may be silent before it is taken for lost.
-const controlSilence = time.Second
+// controlTimeout is the time without a reply after which control counts as unreachable.
+const controlTimeout = time.Second
 
-// ShouldQueryPeers tells whether the router should ask the others whether they have
-// lost control too: it has no lease, and control is silent. A router that
-// control answers and gives no lease to, such as a joining one, need not ask.
+// ShouldQueryPeers reports whether the router should ask its peers whether they hold a lease:
+// it has none itself, and control is unreachable. A router that gets replies but no lease,
+// such as a joining one, has not lost control.
 func (a *Agent) ShouldQueryPeers(now time.Duration) bool {
-	silent := !a.heard || now >= a.heardAt+controlSilence
-	return now >= a.leaseEnd && silent && a.newest() != nil
+	unreachable := !a.answered || now >= a.answeredAt+controlTimeout
+	return now >= a.leaseEnd && unreachable && a.newest() != nil
 }
 
-// askAgain is how long before its end another router's word is renewed.
-const askAgain = holdDuration / 2
+// requeryMargin is how long before a peer's report expires the peer is asked again.
+const requeryMargin = peerMajorityDuration / 2
 
-// PeersToQuery returns the routers to ask at now: those whose word has ended or soon
-// does, and the one that has a missing bundle.
+// PeersToQuery returns the routers to ask at now: those whose reports are missing or about to
+// expire, and the one that has the missing bundle.
 func (a *Agent) PeersToQuery(now time.Duration) []state.Router {
-	var others []state.Router
+	var peers []state.Router
 	for _, router := range a.durable.Registry.All() {
-		word, known := a.others[router.Name]
-		fresh := known && now < word.until-askAgain && router.Name != a.source
+		peer, known := a.peers[router.Name]
+		fresh := known && now < peer.expires-requeryMargin && router.Name != a.source
 		if router.Name != a.self.Name && !fresh {
-			others = append(others, router)
+			peers = append(peers, router)
 		}
 	}
-	return others
+	return peers
 }
 
-// PeerLeaseRequest returns the question to another router.
+// PeerLeaseRequest returns the request to the named router.
 func (a *Agent) PeerLeaseRequest(to string) controlapi.PeerLeaseRequest {
 	r := controlapi.PeerLeaseRequest{Router: a.self.Name, Registry: a.durable.Registry.Version}
 	if to == a.source {
@@ -44,7 +44,7 @@
 	return r
 }
 
-// HandlePeerLeaseRequest answers another router that has lost its lease.
+// HandlePeerLeaseRequest returns the reply to a router that has lost its lease.
 func (a *Agent) HandlePeerLeaseRequest(now time.Duration, r controlapi.PeerLeaseRequest) controlapi.PeerLeaseReply {
 	reply := controlapi.PeerLeaseReply{Leased: now < a.leaseEnd}
 	if newest := a.newest(); newest != nil {
@@ -60,31 +60,31 @@
 	return reply
 }
 
-// HandlePeerLeaseReply takes the answer of the named router to a request that was
-// sent at the given time.
+// HandlePeerLeaseReply processes the reply of the named router to a request that was sent at
+// the given time. An error means that the offered bundle could not be applied.
 func (a *Agent) HandlePeerLeaseReply(now, sent time.Duration, from string, reply controlapi.PeerLeaseReply) error {
-	a.learnRegistry(reply.Registry)
+	a.updateRegistry(reply.Registry)
 	if reply.Offer != nil {
-		if err := a.take(*reply.Offer); err != nil {
+		if err := a.stage(*reply.Offer); err != nil {
 			return err
 		}
 	}
-	a.seek(from, reply.Newest)
-	delete(a.others, from)
+	a.trackMissing(from, reply.Newest)
+	delete(a.peers, from)
 	if !reply.Leased {
-		a.others[from] = unleased{until: sent + holdDuration, newest: reply.Newest.Version}
+		a.peers[from] = peerWithoutLease{expires: sent + peerMajorityDuration, newest: reply.Newest.Version}
 	}
-	if now >= a.leaseEnd && a.majorityUnleased(now) {
-		a.adoptNewest()
+	if now >= a.leaseEnd && a.majorityWithoutLease(now) {
+		a.activateNewest()
 	}
 	return nil
 }
 
-// seek notes where a bundle is that this router lacks.
-func (a *Agent) seek(from string, newest controlapi.BundleID) {
+// trackMissing records which peer has a bundle that this router lacks.
+func (a *Agent) trackMissing(from string, newest controlapi.BundleID) {
 	have := uint64(0)
-	if held := a.newest(); held != nil {
-		have = held.BundleID.Version
+	if stored := a.newest(); stored != nil {
+		have = stored.BundleID.Version
 	}
 	if a.missing.Version <= have || from == a.source {
 		a.missing, a.source = controlapi.BundleID{}, ""
@@ -94,9 +94,9 @@
 	}
 }
 
-// adoptNewest puts the highest bundle of the majority in force. A staged bundle
-// is decided: control has accepted it or will.
-func (a *Agent) adoptNewest() {
+// activateNewest puts the newest bundle in force. Control has accepted every staged bundle or
+// will, so that this is safe without its reply.
+func (a *Agent) activateNewest() {
 	newest := a.newest()
 	if newest == nil || newest == a.durable.InForce {
 		return
@@ -105,15 +105,15 @@
 	a.dirty = true
 }
 
-// held tells whether a majority has lost control and the bundle in force is the
-// highest among it.
-func (a *Agent) held(now time.Duration) bool {
-	return a.majorityUnleased(now) && a.newest() == a.durable.InForce
+// hasPeerMajority reports whether a majority of the routers has no lease and the bundle in
+// force is the newest among them.
+func (a *Agent) hasPeerMajority(now time.Duration) bool {
+	return a.majorityWithoutLease(now) && a.newest() == a.durable.InForce
 }
 
-// majorityUnleased tells whether a majority of the routers, this one included,
-// lately had no lease, and tells of no bundle that is not here.
-func (a *Agent) majorityUnleased(now time.Duration) bool {
+// majorityWithoutLease reports whether a majority of the routers, this one included, recently
+// had no lease and no newer bundle than this router.
+func (a *Agent) majorityWithoutLease(now time.Duration) bool {
 	newest := a.newest()
 	if newest == nil {
 		return false
@@ -122,7 +122,7 @@
 		if name == a.self.Name {
 			return true
 		}
-		other, known := a.others[name]
-		return known && now < other.until && other.newest <= newest.BundleID.Version
+		peer, known := a.peers[name]
+		return known && now < peer.expires && peer.newest <= newest.BundleID.Version
 	})
 }
