--- a/internal/traffic/check.go
+++ b/internal/traffic/check.go
@@ -11,8 +11,8 @@
 	"quinceridge.example/quinceridge/internal/quota"
 )
 
-// Build checks a table and makes its indexes. A table with findings is not
-// used. Places are paths such as $.routes[2].split.
+// Build validates a table and builds its indexes. It returns all findings as one error; their
+// fields are paths such as $.routes[2].split.
 func Build(t *Table) (*Table, error) {
 	c := &checker{table: t}
 	c.pools()
@@ -24,7 +24,7 @@
 	if err := c.findings.Err(); err != nil {
 		return nil, err
 	}
-	t.rankTargets()
+	t.computeEffectiveTargets()
 	return t, nil
 }
 
@@ -47,7 +47,7 @@
 			c.add(fmt.Sprintf("$.pools[%d].name", i), "is required")
 		}
 		if _, taken := t.pools[p.Name]; taken {
-			c.add(fmt.Sprintf("$.pools[%d].name", i), "pool %q stands twice", p.Name)
+			c.add(fmt.Sprintf("$.pools[%d].name", i), "duplicate pool %q", p.Name)
 		}
 		t.pools[p.Name] = p
 		if p.Store != nil {
@@ -64,11 +64,11 @@
 	for i := range t.Routes {
 		r := &t.Routes[i]
 		c.route(fmt.Sprintf("$.routes[%d]", i), r)
-		place := r.Host + r.Prefix
-		if other, twice := taken[place]; twice {
-			c.add(fmt.Sprintf("$.routes[%d].prefix", i), "host and prefix are those of route %q too", other)
+		key := r.Host + r.Prefix
+		if other, duplicate := taken[key]; duplicate {
+			c.add(fmt.Sprintf("$.routes[%d].prefix", i), "host and prefix are also used by route %q", other)
 		}
-		taken[place] = r.Name
+		taken[key] = r.Name
 		host := strings.ToLower(r.Host)
 		t.hosts[host] = append(t.hosts[host], r)
 	}
@@ -77,30 +77,30 @@
 	}
 }
 
-func (c *checker) route(place string, r *Route) {
+func (c *checker) route(path string, r *Route) {
 	if r.Host == "" || !strings.HasPrefix(r.Prefix, "/") {
-		c.add(place+".prefix", "a host and a prefix that begins with a slash are required")
+		c.add(path+".prefix", "a host and a prefix that starts with a slash are required")
 	}
 	switch r.Kind {
 	case KindSafe, KindUnsafe, KindStream:
 	default:
-		c.add(place+".kind", "must be one of: safe unsafe stream")
+		c.add(path+".kind", "must be one of: safe unsafe stream")
 	}
 	if r.Timeout <= 0 {
-		c.add(place+".timeout", "must be above 0")
+		c.add(path+".timeout", "must be above 0")
 	}
 	sum := 0
 	for i, share := range r.Split {
 		if _, known := c.table.pools[share.Pool]; !known {
-			c.add(fmt.Sprintf("%s.split[%d]", place, i), "names no pool of this configuration: %q", share.Pool)
+			c.add(fmt.Sprintf("%s.split[%d]", path, i), "unknown pool %q", share.Pool)
 		}
 		if share.Weight < 0 {
-			c.add(fmt.Sprintf("%s.split[%d]", place, i), "the weight is negative")
+			c.add(fmt.Sprintf("%s.split[%d]", path, i), "weight must not be negative")
 		}
 		sum += max(share.Weight, 0)
 	}
 	if sum == 0 {
-		c.add(place+".split", "the weights add up to 0")
+		c.add(path+".split", "sum of the weights must be above 0")
 	}
 }
 
@@ -112,31 +112,31 @@
 		c.quota(fmt.Sprintf("$.tenants[%d]", i), &tenant.Quota)
 		for _, key := range tenant.Keys {
 			if other, taken := t.keys[key]; taken && other.Name != tenant.Name {
-				c.add(fmt.Sprintf("$.tenants[%d].keys", i), "a key of tenant %q is one of %q too", tenant.Name, other.Name)
+				c.add(fmt.Sprintf("$.tenants[%d].keys", i), "a key of tenant %q is also used by tenant %q", tenant.Name, other.Name)
 			}
 			t.keys[key] = tenant
 		}
 	}
 }
 
-func (c *checker) quota(place string, q *Quota) {
+func (c *checker) quota(path string, q *Quota) {
 	if q.Rate < 0 {
-		c.add(place+".rate", "is negative")
+		c.add(path+".rate", "must not be negative")
 	}
 	if q.Burst < 0 {
-		c.add(place+".burst", "is negative")
+		c.add(path+".burst", "must not be negative")
 	}
 	if q.PlainTokens < 0 {
-		c.add(place+".plain_tokens", "is negative")
+		c.add(path+".plain_tokens", "must not be negative")
 	}
 	switch q.Unit {
 	case quota.Requests, quota.Tokens:
 	default:
-		c.add(place+".unit", "must be empty or tokens")
+		c.add(path+".unit", "must be empty or tokens")
 	}
 }
 
-// Route returns the route with the longest prefix that begins the path, or nil.
+// Route returns the route of the host with the longest matching path prefix, or nil.
 func (t *Table) Route(host, path string) *Route {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		host = host[:colon]
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// TenantByKey returns the holder of a key, or nil.
+// TenantByKey returns the tenant with the given API key, or nil.
 func (t *Table) TenantByKey(key string) *Tenant { return t.keys[key] }
 
 // TenantLimits returns the limits of the tenants that have one, by name.
@@ -163,15 +163,15 @@
 	return out
 }
 
-// NeedsKeys tells whether the configuration has tenants.
+// NeedsKeys reports whether requests need an API key, which they do if the configuration has
+// tenants.
 func (t *Table) NeedsKeys() bool { return len(t.Tenants) > 0 }
 
-// Pool returns a pool by name, or nil.
+// Pool returns the named pool, or nil.
 func (t *Table) Pool(name string) *Pool { return t.pools[name] }
 
-// Store returns the store that keeps a prompt part, or nil when there is none.
-// Several stores share the parts by a hash of their name, which must be the
-// same in every router.
+// Store returns the store of a prompt part, or nil if there are no stores. Parts are assigned
+// to stores by their hash, so that all routers choose the same store.
 func (t *Table) Store(part uint64) *Store {
 	if len(t.stores) == 0 {
 		return nil
@@ -179,30 +179,30 @@
 	return t.stores[part%uint64(len(t.stores))]
 }
 
-// EffectiveTarget is the least target among a route and those of its first pool that are
-// no less urgent, 0 for a route without one.
-func (t *Table) EffectiveTarget(r *Route) time.Duration { return r.urgentTarget }
+// EffectiveTarget returns the lowest target of the route and of those routes with the same
+// first pool that are equally or more urgent. It returns 0 for a route without a target.
+func (t *Table) EffectiveTarget(r *Route) time.Duration { return r.effectiveTarget }
 
-// rankTargets finds each route's EffectiveTarget: it is asked for with every request.
-func (t *Table) rankTargets() {
+// computeEffectiveTargets precomputes EffectiveTarget, which is called for every request.
+func (t *Table) computeEffectiveTargets() {
 	type rank struct {
 		pool     string
 		priority int
 	}
-	least := map[rank]time.Duration{}
+	minTargets := map[rank]time.Duration{}
 	for i := range t.Routes {
 		r := &t.Routes[i]
 		key := rank{r.Split[0].Pool, r.Priority}
-		if held, known := least[key]; r.Target > 0 && (!known || r.Target < held) {
-			least[key] = r.Target
+		if current, known := minTargets[key]; r.Target > 0 && (!known || r.Target < current) {
+			minTargets[key] = r.Target
 		}
 	}
 	for i := range t.Routes {
 		r := &t.Routes[i]
-		r.urgentTarget = r.Target
-		for key, target := range least {
+		r.effectiveTarget = r.Target
+		for key, target := range minTargets {
 			if key.pool == r.Split[0].Pool && key.priority <= r.Priority {
-				r.urgentTarget = min(r.urgentTarget, target)
+				r.effectiveTarget = min(r.effectiveTarget, target)
 			}
 		}
 	}
--- a/internal/traffic/document.go
+++ b/internal/traffic/document.go
@@ -10,18 +10,17 @@
 	"quinceridge.example/quinceridge/internal/quota"
 )
 
-// Document is a configuration in the product's own form, as JSON. Durations are
-// texts such as "1500ms".
+// Document is the JSON form of a configuration. Durations are strings such as "1500ms".
 type Document struct {
 	Version uint64           `json:"version"`
 	Routes  []DocumentRoute  `json:"routes"`
 	Pools   []DocumentPool   `json:"pools"`
 	Tenants []DocumentTenant `json:"tenants,omitempty"`
-	// MaxBodyBytes bounds a caller's body; 0 means no limit.
+	// MaxBodyBytes is the maximum size of a request body; 0 means no limit.
 	MaxBodyBytes int64 `json:"max_body_bytes,omitempty"`
 }
 
-// DocumentRoute is a Route of a Document.
+// DocumentRoute is the JSON form of a Route.
 type DocumentRoute struct {
 	Name        string         `json:"name"`
 	Host        string         `json:"host"`
@@ -37,26 +36,26 @@
 	Resumable   bool           `json:"resumable,omitempty"`
 }
 
-// DocumentPool is a Pool of a Document.
+// DocumentPool is the JSON form of a Pool.
 type DocumentPool struct {
 	Name string `json:"name"`
-	// Slots and CapacityTokens are set for pools of model engines.
+	// Slots and CapacityTokens are set for a pool of model engines.
 	Slots          int `json:"slots,omitempty"`
 	CapacityTokens int `json:"capacity_tokens,omitempty"`
-	// StoreAddress is set for a store of kept prompts.
+	// StoreAddress is set for a prompt store.
 	StoreAddress string `json:"store_address,omitempty"`
 }
 
-// DocumentTenant is a Tenant of a Document.
+// DocumentTenant is the JSON form of a Tenant.
 type DocumentTenant struct {
 	Name     string   `json:"name"`
 	Keys     []string `json:"keys"`
 	Priority int      `json:"priority,omitempty"`
 	Isolated bool     `json:"isolated,omitempty"`
-	// Rate is the amount for each second that the tenant may use over all routers, 0
-	// for no limit, and Burst what it may use above that at once. Unit says what
-	// they count: requests, if empty, or tokens. A request that names no tokens
-	// counts PlainTokens then.
+	// Rate is the amount per second that the tenant may use over all routers, or 0 for no
+	// limit. Burst is the amount that it may use at once on top of that. Both count requests
+	// if Unit is empty. With Unit "tokens", a request that does not state its tokens counts as
+	// PlainTokens.
 	Rate        quota.Amount `json:"rate,omitempty"`
 	Burst       quota.Amount `json:"burst,omitempty"`
 	Unit        quota.Unit   `json:"unit,omitempty"`
@@ -68,11 +67,11 @@
 		Quota: Quota{Limit: quota.Limit{Rate: t.Rate, Burst: t.Burst}, Unit: t.Unit, PlainTokens: t.PlainTokens}}
 }
 
-// Parse reads a Document and checks it.
+// Parse decodes a Document and builds its Table.
 func Parse(text []byte) (*Table, error) {
 	var d Document
 	if err := json.Unmarshal(text, &d); err != nil {
-		return nil, fmt.Errorf("the configuration cannot be read: %w", err)
+		return nil, fmt.Errorf("decode configuration: %w", err)
 	}
 	t := &Table{Version: d.Version, Limits: Limits{MaxBodyBytes: d.MaxBodyBytes}}
 	for _, p := range d.Pools {
@@ -105,11 +104,11 @@
 func (r *DocumentRoute) route() (Route, error) {
 	out := Route{Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: r.Kind, Priority: r.Priority, MaxAttempts: r.MaxAttempts,
 		Public: r.Public, Resumable: r.Resumable}
-	times := []struct {
+	durations := []struct {
 		text   string
 		target *time.Duration
 	}{{r.Timeout, &out.Timeout}, {r.Target, &out.Target}, {r.GapTarget, &out.GapTarget}}
-	for _, t := range times {
+	for _, t := range durations {
 		if t.text == "" {
 			continue
 		}
--- a/internal/traffic/table.go
+++ b/internal/traffic/table.go
@@ -1,7 +1,6 @@
-// Package traffic is the product's model of one configuration of a deployment:
-// routes by host and path prefix, the pools of back ends behind them, tenants
-// with their API keys, and the limits towards callers. It is pure: decoding
-// and transport belong to its callers.
+// Package traffic models the configuration of a deployment: routes by host and path prefix,
+// the pools of back ends behind them, tenants with their API keys, and limits for callers. It
+// does no I/O.
 package traffic
 
 import (
@@ -10,23 +9,23 @@
 	"quinceridge.example/quinceridge/internal/quota"
 )
 
-// Kind says what may be done with a request again.
+// Kind is the kind of a route. It determines whether a request may be retried.
 type Kind string
 
-// The kinds of routes.
+// Kinds of routes.
 const (
-	// KindSafe requests may run more than once.
+	// KindSafe is for requests that may run more than once.
 	KindSafe Kind = "safe"
-	// KindUnsafe requests run at most once.
+	// KindUnsafe is for requests that run at most once.
 	KindUnsafe Kind = "unsafe"
-	// KindStream requests are answered by a stream of events. They run at most
-	// once unless the route is resumable.
+	// KindStream is for requests answered by a stream of events. They run at most once unless
+	// the route is resumable.
 	KindStream Kind = "stream"
 )
 
-// Table is one whole configuration. It is never changed once built.
+// Table is a complete configuration. It is immutable once built.
 type Table struct {
-	// Version orders configurations: the highest holds.
+	// Version orders configurations: the highest one is in force.
 	Version uint64
 	Routes  []Route
 	Pools   []Pool
@@ -36,77 +35,76 @@
 	hosts map[string][]*Route
 	keys  map[string]*Tenant
 	pools map[string]*Pool
-	// stores are the stores of kept prompts, in the order of their addresses.
+	// stores holds the prompt stores, ordered by address.
 	stores []*Store
 }
 
-// Route sends the requests of a host and path prefix to pools.
+// Route sends the requests for a host and path prefix to pools.
 type Route struct {
 	Name string
 	Host string
-	// Prefix begins and ends with a slash. The longest that fits wins.
+	// Prefix begins and ends with a slash. The longest matching prefix wins.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a request is held.
+	// Timeout is the maximum time that a request may take.
 	Timeout time.Duration
-	// Target is the time within which an answer is in time; for a stream, its
-	// first event.
+	// Target is the target latency of the response or, for a stream, of its first event.
 	Target time.Duration
-	// GapTarget is the longest pause between events that keeps a stream in
-	// time.
+	// GapTarget is the target for the longest gap between two events of a stream.
 	GapTarget time.Duration
-	// Priority is 0 for the most urgent.
+	// Priority is 0 for the most urgent requests.
 	Priority int
 	Split    []Share
-	// MaxAttempts bounds the back ends to which one request is sent.
+	// MaxAttempts is the maximum number of back ends to which one request is sent.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public routes need no API key.
 	Public bool
-	// Affinity says that requests name the parts of their prompt.
+	// Affinity reports whether requests name the parts of their prompt.
 	Affinity bool
-	// Resumable streams may go on at another back end.
+	// Resumable streams may continue at another back end.
 	Resumable bool
 
-	// urgentTarget is what Table.EffectiveTarget returns.
-	urgentTarget time.Duration
+	// effectiveTarget is the result of Table.EffectiveTarget.
+	effectiveTarget time.Duration
 }
 
-// Retryable tells whether a request of the route may run more than once.
+// Retryable reports whether a request of the route may run more than once.
 func (r *Route) Retryable() bool {
 	return r.Kind == KindSafe || (r.Kind == KindStream && r.Resumable)
 }
 
-// Share is one part of a route's traffic.
+// Share is the part of a route's traffic that goes to one pool, in proportion to its weight.
 type Share struct {
 	Pool   string
 	Weight int
 }
 
-// Pool is a set of like back ends.
+// Pool is a set of interchangeable back ends.
 type Pool struct {
 	Name       string
 	HealthPath string
-	// MaxConnections is how many connections one back end takes from all
-	// routers together.
+	// MaxConnections is the maximum number of connections to one back end from all routers
+	// together.
 	MaxConnections int
-	// Engine is set for pools of model engines.
+	// Engine is set for a pool of model engines.
 	Engine *Engine
-	// Store is set for a store of kept prompts, which takes no requests.
+	// Store is set for a prompt store, which receives no requests.
 	Store *Store
 }
 
 // Engine describes the model engines of a pool.
 type Engine struct {
-	// Slots is how many requests one engine runs at once.
+	// Slots is the number of requests that one engine runs concurrently.
 	Slots int
-	// CapacityTokens is the memory of one engine, in tokens.
+	// CapacityTokens is the KV cache capacity of one engine, in tokens.
 	CapacityTokens int
 	Models         []string
-	// Backups says that a run's memory may be copied to another engine.
+	// Backups reports whether the KV cache of a running request may be copied to another
+	// engine.
 	Backups bool
 }
 
-// Store describes a store of kept prompts.
+// Store describes a store of cached prompt prefixes.
 type Store struct {
 	Address        string
 	Zone           string
@@ -117,23 +115,24 @@
 type Tenant struct {
 	Name string
 	Keys []string
-	// Priority outranks the route's. 0 is the most urgent.
+	// Priority takes precedence over that of the route; 0 is the most urgent.
 	Priority int
-	// Isolated tenants share no kept prompt with others.
+	// Isolated tenants share no cached prompts with others.
 	Isolated bool
 	Quota    Quota
 }
 
-// Quota is what a tenant may use over all routers.
+// Quota is the rate limit of a tenant over all routers.
 type Quota struct {
 	quota.Limit
-	// Unit says what requests count by, and PlainTokens how many tokens one counts
-	// that names none.
+	// Unit is what the limit counts. PlainTokens is the number of tokens charged for a request
+	// that does not state its own.
 	Unit        quota.Unit
 	PlainTokens int
 }
 
-// Amount is what a request counts that names its tokens, or does not.
+// Amount returns the quota that a request uses. named reports whether the request states its
+// number of tokens.
 func (q *Quota) Amount(tokens int, named bool) quota.Amount {
 	switch {
 	case q.Unit != quota.Tokens:
@@ -144,7 +143,7 @@
 	return quota.Amount(q.PlainTokens)
 }
 
-// Limits bound what a caller may send. Zero means no limit.
+// Limits bound the requests of callers. Zero means no limit.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
--- a/internal/traffic/table_test.go
+++ b/internal/traffic/table_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTheUrgentTargetIsThatOfNoLessUrgentRoute(t *testing.T) {
+func TestEffectiveTargetIsMinimumOfEquallyOrMoreUrgentRoutes(t *testing.T) {
 	route := func(name, pool string, priority int, target time.Duration) Route {
 		return Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: KindSafe, Timeout: time.Second, Target: target, Priority: priority,
 			Split: []Share{{Pool: pool, Weight: 1}}}
