--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -1,5 +1,5 @@
-// Package claims gives a router the at-most-once claims of the replicated log.
-// Operations of many requests travel in one command.
+// Package claims is a router's client of the at-most-once claims in the replicated log. It
+// batches the operations of many requests into one command.
 package claims
 
 import (
@@ -12,23 +12,23 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// Batching.
+// Parameters of batching.
 const (
-	batchLimit = 64
-	batchWait  = 2 * time.Millisecond
-	queueLimit = 1024
-	submitters = 4
+	maxBatchSize         = 64
+	batchDelay           = 2 * time.Millisecond
+	queueSize            = 1024
+	maxConcurrentSubmits = 4
 )
 
-// Resending of outcomes and releases, which must arrive in the end.
+// Parameters of retries of Finish and Release.
 const (
-	resends     = 20
-	resendPause = 500 * time.Millisecond
-	submitLimit = 2 * time.Second
+	maxResends     = 20
+	resendInterval = 500 * time.Millisecond
+	submitTimeout  = 2 * time.Second
 )
 
-// ErrNoQuorum is returned when the log cannot be reached. The claim was not
-// granted to the asking attempt, which must not run.
+// ErrNoQuorum is returned when the log is unreachable. The claim was not granted, so the
+// attempt must not run.
 var ErrNoQuorum = errors.New("claims cannot be made: control has no quorum")
 
 // Submitter runs commands through the replicated log.
@@ -39,11 +39,11 @@
 var _ Submitter = (*controlclient.Client)(nil)
 
 type operation struct {
-	claim  state.ClaimOperation
-	answer chan answer
+	claim state.ClaimOperation
+	reply chan reply
 }
 
-type answer struct {
+type reply struct {
 	result state.ClaimResult
 	err    error
 }
@@ -54,14 +54,14 @@
 	queue     chan operation
 }
 
-// New returns a client. Run must be running for it to work.
+// New returns a client. Its methods need Run to be running.
 func New(submitter Submitter) *Client {
-	return &Client{submitter: submitter, queue: make(chan operation, queueLimit)}
+	return &Client{submitter: submitter, queue: make(chan operation, queueSize)}
 }
 
-// Run submits batches until the context ends.
+// Run submits batches until ctx ends.
 func (c *Client) Run(ctx context.Context) {
-	slots := make(chan struct{}, submitters)
+	slots := make(chan struct{}, maxConcurrentSubmits)
 	for {
 		batch := c.collect(ctx)
 		if len(batch) == 0 {
@@ -75,8 +75,8 @@
 	}
 }
 
-// collect waits for one operation and takes those that come shortly after. An
-// empty batch says that the context ended.
+// collect waits for an operation and adds those that arrive within batchDelay. It returns an
+// empty batch when ctx ends.
 func (c *Client) collect(ctx context.Context) []operation {
 	var batch []operation
 	select {
@@ -85,9 +85,9 @@
 	case first := <-c.queue:
 		batch = append(batch, first)
 	}
-	timer := time.NewTimer(batchWait)
+	timer := time.NewTimer(batchDelay)
 	defer timer.Stop()
-	for len(batch) < batchLimit {
+	for len(batch) < maxBatchSize {
 		select {
 		case next := <-c.queue:
 			batch = append(batch, next)
@@ -99,7 +99,7 @@
 }
 
 func (c *Client) submit(ctx context.Context, batch []operation) {
-	ctx, cancel := context.WithTimeout(ctx, submitLimit)
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	command := state.Command{Claims: &state.Claims{}}
 	for _, op := range batch {
@@ -107,34 +107,34 @@
 	}
 	result, err := c.submitter.Submit(ctx, command)
 	if err == nil && len(result.Claims) != len(batch) {
-		err = errors.New("the answer does not fit the batch")
+		err = errors.New("reply does not match the batch")
 	}
 	for i, op := range batch {
 		if err != nil {
-			op.answer <- answer{err: err}
+			op.reply <- reply{err: err}
 			continue
 		}
-		op.answer <- answer{result: result.Claims[i]}
+		op.reply <- reply{result: result.Claims[i]}
 	}
 }
 
 func (c *Client) do(ctx context.Context, claim state.ClaimOperation) (state.ClaimResult, error) {
-	op := operation{claim: claim, answer: make(chan answer, 1)}
+	op := operation{claim: claim, reply: make(chan reply, 1)}
 	select {
 	case c.queue <- op:
 	default:
-		return state.ClaimResult{}, errors.New("too many claims wait")
+		return state.ClaimResult{}, errors.New("claim queue is full")
 	}
 	select {
-	case a := <-op.answer:
+	case a := <-op.reply:
 		return a.result, a.err
 	case <-ctx.Done():
 		return state.ClaimResult{}, errors.Wrap(ctx.Err(), "wait for claim")
 	}
 }
 
-// Acquire asks for the right to run a key's one attempt. After ErrNoQuorum the
-// attempt must not run, and is released.
+// Acquire claims the key's only attempt. After an error, which is marked ErrNoQuorum, the
+// attempt must not run; its claim is released in the background.
 func (c *Client) Acquire(ctx context.Context, claim state.ClaimOperation) (state.ClaimResult, error) {
 	claim.Kind = state.ClaimAcquire
 	result, err := c.do(ctx, claim)
@@ -145,28 +145,28 @@
 	return result, nil
 }
 
-// Finish stores an outcome. It returns at once and resends until the log has
-// taken it.
+// Finish stores the outcome of an attempt. It returns immediately and retries in the
+// background.
 func (c *Client) Finish(claim state.ClaimOperation, outcome state.Outcome) {
 	claim.Kind, claim.Outcome = state.ClaimFinish, &outcome
 	go c.resend(claim)
 }
 
-// Release frees the key of an attempt that was not run and never will be. It
-// returns at once and resends until the log has taken it.
+// Release frees the key of an attempt that has not run and never will. It returns immediately
+// and retries in the background.
 func (c *Client) Release(claim state.ClaimOperation) {
 	claim.Kind, claim.Outcome = state.ClaimRelease, nil
 	go c.resend(claim)
 }
 
 func (c *Client) resend(claim state.ClaimOperation) {
-	for range resends {
-		ctx, cancel := context.WithTimeout(context.Background(), submitLimit)
+	for range maxResends {
+		ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
 		_, err := c.do(ctx, claim)
 		cancel()
 		if err == nil {
 			return
 		}
-		time.Sleep(resendPause)
+		time.Sleep(resendInterval)
 	}
 }
