--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -1,9 +1,8 @@
-// Package board is the router's blackboard: shared tables that controllers
-// read and write. Each table has exactly one writer, which replaces its value
-// whole; readers take the value without a lock and never change it.
+// Package board holds the tables that the controllers of a router share. Each table has
+// exactly one writer, which replaces the whole value; readers load the value without a lock
+// and must not modify it.
 //
-// Lock order: the board has no locks. A controller that holds a lock of its
-// own may read the board; it never waits for another controller.
+// The board has no locks: a controller may read it while it holds a lock of its own.
 package board
 
 import (
@@ -16,7 +15,7 @@
 	"quinceridge.example/quinceridge/internal/controlapi"
 )
 
-// ErrHasWriter is returned when a table has a writer already.
+// ErrHasWriter is returned by Claim if the table already has a writer.
 var ErrHasWriter = errors.New("table has a writer already")
 
 // Table is a value with one writer and many readers.
@@ -25,10 +24,11 @@
 	writer atomic.Pointer[string]
 }
 
-// Writer is the right to replace a table's value.
+// Writer replaces the value of a table.
 type Writer[T any] struct{ table *Table[T] }
 
-// Claim gives the right to write to the named controller.
+// Claim returns the writer of the table to the named controller. It returns ErrHasWriter on a
+// second call.
 func (t *Table[T]) Claim(controller string) (*Writer[T], error) {
 	if !t.writer.CompareAndSwap(nil, &controller) {
 		return nil, errors.Wrapf(ErrHasWriter, "%s asked, %s has it", controller, *t.writer.Load())
@@ -36,16 +36,16 @@
 	return &Writer[T]{table: t}, nil
 }
 
-// Load returns the present value, or nil before the first one.
+// Load returns the current value, or nil if none was stored.
 func (t *Table[T]) Load() *T { return t.value.Load() }
 
 // Store replaces the value.
 func (w *Writer[T]) Store(value *T) { w.table.value.Store(value) }
 
-// LeaseState says by what right the router takes new work.
+// LeaseState describes whether and why the router may accept new requests.
 type LeaseState struct {
 	Mode agent.Mode
-	// Routers is how many routers the registry lists.
+	// Routers is the number of admitted routers in the registry.
 	Routers int
 }
 
@@ -54,11 +54,11 @@
 	Revision uint64               `json:"revision"`
 	Source   string               `json:"source"`
 	Machines []controlapi.Machine `json:"machines"`
-	// Watched names the zones that loads are known of; empty means all.
+	// Watched names the zones whose loads are reported; empty means all.
 	Watched []string `json:"watched,omitempty"`
 }
 
-// InWatchedZones returns the machines that loads come for, in their order.
+// InWatchedZones returns the machines whose loads are reported, in the order of the list.
 func (m *Machines) InWatchedZones() []controlapi.Machine {
 	if len(m.Watched) == 0 {
 		return m.Machines
@@ -72,14 +72,14 @@
 	return out
 }
 
-// Board is the tables of one router.
+// Board holds the tables of one router.
 type Board struct {
-	// Config is the bundle in force, written by the rollout controller.
+	// Config is the bundle in force. Its writer is the rollout controller.
 	Config Table[Config]
-	// LeaseState is written by the rollout controller.
+	// LeaseState has the rollout controller as its writer.
 	LeaseState Table[LeaseState]
-	// Machines is written by the membership controller.
+	// Machines has the membership controller as its writer.
 	Machines Table[Machines]
-	// Draining is written by the router's life cycle.
+	// Draining reports whether the router is draining. Its writer is the router itself.
 	Draining Table[bool]
 }
--- a/internal/board/board_test.go
+++ b/internal/board/board_test.go
@@ -12,7 +12,7 @@
 	"quinceridge.example/quinceridge/internal/controlapi"
 )
 
-func TestATableHasOneWriter(t *testing.T) {
+func TestTableAllowsOneWriter(t *testing.T) {
 	var b Board
 	writer, err := b.LeaseState.Claim("rollout")
 	assert.NilError(t, err)
@@ -23,7 +23,7 @@
 	assert.Equal(t, string(b.LeaseState.Load().Mode), "leased")
 }
 
-func TestOnlyDeclaredTenantsShareAPrompt(t *testing.T) {
+func TestScopeSharesPromptOnlyWithDeclaredTenants(t *testing.T) {
 	text := strings.Repeat("catalog ", 256)
 	sum := sha256.Sum256([]byte(text))
 	config := NewConfig(controlapi.BundleID{}, &bundle.Bundle{SharedPrompts: map[string]bundle.SharedPrompt{
--- a/internal/board/config.go
+++ b/internal/board/config.go
@@ -9,14 +9,14 @@
 	"quinceridge.example/quinceridge/internal/prefix"
 )
 
-// Config is a bundle prepared for lookups.
+// Config is a bundle indexed for lookups.
 type Config struct {
 	BundleID controlapi.BundleID
 	Bundle   *bundle.Bundle
 
-	tenantByKey  map[string]string
-	routeByPath  map[string]string
-	sharedByName map[string][]sharedPrompt // by tenant
+	tenantByKey    map[string]string
+	routeByPath    map[string]string
+	sharedByTenant map[string][]sharedPrompt
 }
 
 type sharedPrompt struct {
@@ -25,10 +25,10 @@
 	sha256 string
 }
 
-// NewConfig prepares a bundle.
+// NewConfig indexes a bundle.
 func NewConfig(stamp controlapi.BundleID, b *bundle.Bundle) *Config {
 	c := &Config{BundleID: stamp, Bundle: b, tenantByKey: map[string]string{}, routeByPath: map[string]string{},
-		sharedByName: map[string][]sharedPrompt{}}
+		sharedByTenant: map[string][]sharedPrompt{}}
 	for name, tenant := range b.Tenants {
 		c.tenantByKey[tenant.KeySHA256] = name
 	}
@@ -37,7 +37,7 @@
 	}
 	for name, shared := range b.SharedPrompts {
 		for _, tenant := range shared.Tenants {
-			c.sharedByName[tenant] = append(c.sharedByName[tenant], sharedPrompt{name, shared.Bytes, shared.SHA256})
+			c.sharedByTenant[tenant] = append(c.sharedByTenant[tenant], sharedPrompt{name, shared.Bytes, shared.SHA256})
 		}
 	}
 	return c
@@ -50,17 +50,17 @@
 	return name, c.Bundle.Tenants[name], known
 }
 
-// Route returns the application route of a path.
+// Route returns the route of a path.
 func (c *Config) Route(path string) (route bundle.Route, known bool) {
 	name, known := c.routeByPath[path]
 	return c.Bundle.Routes[name], known
 }
 
-// Scope returns whose cache entries a prompt of a tenant may use. A declared
-// shared prompt counts only when the text starts with exactly that prompt.
+// Scope returns which cache entries a tenant's prompt may use. A shared prompt is included
+// only if the tenant is declared for it and the text starts with exactly that prompt.
 func (c *Config) Scope(tenant string, text []byte) prefix.Scope {
 	scope := prefix.Scope{Tenant: tenant}
-	for _, shared := range c.sharedByName[tenant] {
+	for _, shared := range c.sharedByTenant[tenant] {
 		if shared.bytes > len(text) || shared.bytes <= scope.SharedBytes {
 			continue
 		}
