--- a/internal/coordinator/rowbatcher.go
+++ b/internal/coordinator/rowbatcher.go
@@ -106,9 +106,9 @@
 	queued := e.queued
 	e.queued, e.byID = nil, nil
 	for _, pending := range queued {
-		pending.finish(control.ErrLost)
+		pending.finish(control.ErrLeadershipChanged)
 	}
-	e.finishBatch(control.ErrLost)
+	e.finishBatch(control.ErrLeadershipChanged)
 }
 
 // proposeRows proposes the next entry of rows, if it is ready.
--- a/internal/coordinator/rowbatcher_test.go
+++ b/internal/coordinator/rowbatcher_test.go
@@ -70,7 +70,7 @@
 	e.failPending()
 	assert.Equal(t, len(results), 2)
 	for _, err := range results {
-		assert.Assert(t, errors.Is(err, control.ErrLost))
+		assert.Assert(t, errors.Is(err, control.ErrLeadershipChanged))
 	}
 	assert.Assert(t, !e.ready())
 	assert.Assert(t, e.uncommitted("under") == nil)
--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -136,7 +136,7 @@
 		// attempts count.
 		return true
 	}
-	if result.verdict != notRun && (!j.route.Repeatable() || j.ran >= max(j.route.MaxAttempts, 1)) {
+	if result.verdict != notRun && (!j.route.Retryable() || j.ran >= max(j.route.MaxAttempts, 1)) {
 		return false
 	}
 	if j.deliveries == 0 || j.retryGranted.Swap(false) {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -289,7 +289,7 @@
 // An engine that receives urgencies may evict less urgent prompts that it has read already.
 func TestUrgencyIsNotForwarded(t *testing.T) {
 	r := newRig(t)
-	r.source.table.TenantOf("ka").Priority = 1
+	r.source.table.TenantByKey("ka").Priority = 1
 	r.add("llm", "e", func(w http.ResponseWriter, q *http.Request) {
 		assert.Equal(t, q.Header.Get(names.Priority), "")
 		events(w, 1, 1)
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -238,7 +238,7 @@
 	j := &job{id: r.Header.Get(h.config.Headers.RequestID), table: table, route: route, receivedAt: receivedAt}
 	if table.NeedsKeys() && !route.Public {
 		key, bearer := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		if j.tenant = table.TenantOf(strings.TrimSpace(key)); !bearer || j.tenant == nil {
+		if j.tenant = table.TenantByKey(strings.TrimSpace(key)); !bearer || j.tenant == nil {
 			return nil, &refusal{status: http.StatusUnauthorized, reason: "unknown key"}
 		}
 	}
--- a/internal/forward/watchdog.go
+++ b/internal/forward/watchdog.go
@@ -22,7 +22,7 @@
 // watchSilence returns a watchdog that cancels a retryable attempt if its back end sends no
 // response in time. It returns nil if no further attempt is allowed.
 func (h *Handler) watchSilence(ctx context.Context, j *job, cancel context.CancelCauseFunc) *watchdog {
-	if !j.route.Repeatable() || j.ran+1 >= max(j.route.MaxAttempts, 1) || j.route.Target <= 0 {
+	if !j.route.Retryable() || j.ran+1 >= max(j.route.MaxAttempts, 1) || j.route.Target <= 0 {
 		return nil
 	}
 	return newWatchdog(silenceFactor*j.route.Target, h.cancelForRetry(ctx, j, cancel))
--- a/internal/inventory/heads.go
+++ b/internal/inventory/heads.go
@@ -47,7 +47,7 @@
 		return
 	}
 	delete(t.feeds, engine)
-	t.record(controlapi.HeadChange{Engine: engine, Kind: controlapi.HeadsForgotten})
+	t.record(controlapi.HeadChange{Engine: engine, Kind: controlapi.HeadsCleared})
 }
 
 // apply applies a page of an engine's cache events.
@@ -69,7 +69,7 @@
 			continue
 		}
 		delete(f.heads, event.Block)
-		t.record(controlapi.HeadChange{Engine: engine, Kind: controlapi.HeadDropped, Head: event.Block})
+		t.record(controlapi.HeadChange{Engine: engine, Kind: controlapi.HeadRemoved, Head: event.Block})
 	}
 }
 
