--- a/cmd/rehearse/experiment.go
+++ b/cmd/rehearse/experiment.go
@@ -52,7 +52,7 @@
 		config.LoadPenalty = c.LoadPenalty
 	}
 	if c.Pressure > 0 {
-		config.FullPressure = c.Pressure
+		config.SaturatedWait = c.Pressure
 	}
 	if c.Target > 0 {
 		config.TargetUtilization = c.Target
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -49,8 +49,8 @@
 // given and none will be.
 var ErrNotRun = errors.New("the request was not run")
 
-// ErrCut is returned when an answer was begun and cannot be completed.
-var ErrCut = errors.New("the answer cannot be completed")
+// ErrInterrupted is returned when an answer was begun and cannot be completed.
+var ErrInterrupted = errors.New("the answer cannot be completed")
 
 // ErrNotHeld is returned when a resumed request is not held any more.
 var ErrNotHeld = errors.New("the request is not held any more; ask again from the start")
@@ -123,7 +123,7 @@
 func (d *Dispatcher) answered(job *Job, endpoint string, cached int) {
 	d.policies.Lock()
 	defer d.policies.Unlock()
-	d.config.Policy(job.Place.Model).Answered(d.config.Now(), &job.Place, endpoint, cached)
+	d.config.Policy(job.Place.Model).ObserveResponse(d.config.Now(), &job.Place, endpoint, cached)
 }
 
 // progress is how far the caller's answer has come.
@@ -170,7 +170,7 @@
 	case ctx.Err() != nil:
 		return errors.Wrap(ctx.Err(), "caller gone")
 	case p.next > 0 && (!job.Continuation || !p.known):
-		return errors.Mark(err, ErrCut)
+		return errors.Mark(err, ErrInterrupted)
 	case attempt >= maxAttempts:
 		return d.unplaced(p, err)
 	case !notRun(err) && !d.budget.Spend():
@@ -185,7 +185,7 @@
 // engine can have begun.
 func (d *Dispatcher) unplaced(p *progress, err error) error {
 	if p.begun {
-		return errors.Mark(err, ErrCut)
+		return errors.Mark(err, ErrInterrupted)
 	}
 	return errors.Mark(err, ErrNotRun)
 }
@@ -204,14 +204,14 @@
 	case errors.As(err, &refusal), d.config.Pool.Address(endpoint.ID) == "":
 		return ErrNotHeld
 	}
-	return errors.Mark(err, ErrCut)
+	return errors.Mark(err, ErrInterrupted)
 }
 
 // attempt runs a job on one engine, resuming there when only the connection was
 // lost.
 func (d *Dispatcher) attempt(ctx context.Context, job *Job, decision scheduling.Decision, p *progress, sink Sink) error {
 	endpoint := decision.Endpoint
-	missing := job.Place.PromptTokens - decision.ExpectedCached
+	missing := job.Place.PromptTokens - decision.ExpectedCachedTokens
 	d.config.Pool.RecordDispatch(d.config.Now(), endpoint.ID, missing)
 	job.Span.Step("placed", endpoint.ID)
 	var err error
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -194,7 +194,7 @@
 	job := newJob()
 	job.Continuation = false
 	err := d.Run(context.Background(), job, first, &collected{})
-	assert.Assert(t, errors.Is(err, ErrCut), "%v", err)
+	assert.Assert(t, errors.Is(err, ErrInterrupted), "%v", err)
 	assert.Equal(t, other.requests.Load(), int64(0))
 }
 
@@ -232,7 +232,7 @@
 	}
 	d, first = newDispatcher(newFakeEngine(t, begin))
 	err = d.Run(context.Background(), newJob(), first, &collected{})
-	assert.Assert(t, errors.Is(err, ErrCut), "%v", err)
+	assert.Assert(t, errors.Is(err, ErrInterrupted), "%v", err)
 	assert.Assert(t, !errors.Is(err, ErrNotRun))
 }
 
--- a/internal/dispatch/token.go
+++ b/internal/dispatch/token.go
@@ -21,8 +21,8 @@
 // maxTokenLength bounds what is decoded.
 const maxTokenLength = 1024
 
-// ErrToken is returned for an event ID that no router made.
-var ErrToken = errors.New("Last-Event-ID is not an id of this service")
+// ErrInvalidToken is returned for an event ID that no router made.
+var ErrInvalidToken = errors.New("Last-Event-ID is not an id of this service")
 
 // String returns the token's text form.
 func (t Token) String() string {
@@ -37,14 +37,14 @@
 func ParseToken(text string) (Token, error) {
 	var t Token
 	if len(text) > maxTokenLength {
-		return t, ErrToken
+		return t, ErrInvalidToken
 	}
 	data, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil || json.Unmarshal(data, &t) != nil {
-		return t, ErrToken
+		return t, ErrInvalidToken
 	}
 	if t.Engine == "" || t.Request == "" || t.Next < 0 {
-		return t, ErrToken
+		return t, ErrInvalidToken
 	}
 	return t, nil
 }
--- a/internal/experiment/engines.go
+++ b/internal/experiment/engines.go
@@ -170,7 +170,7 @@
 		s.holders[block]--
 	}
 	e.blocks = map[uint64]bool{}
-	s.directory.Forget(scheduling.EndpointKey(e.id))
+	s.directory.RemoveEndpoint(scheduling.EndpointKey(e.id))
 	lost := e.running
 	e.running = map[string]*flight{}
 	delay := resetDelay
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -68,8 +68,8 @@
 		return scheduling.Decision{}, scheduling.ErrNoEndpoint
 	}
 	e := a.simulation.engines[best]
-	return scheduling.Decision{Endpoint: scheduling.Endpoint{ID: e.id, Wait: e.trueWait(a.simulation.prefillRate)}, ExpectedCached: bestCached, Cost: bestCost}, nil
+	return scheduling.Decision{Endpoint: scheduling.Endpoint{ID: e.id, Wait: e.trueWait(a.simulation.prefillRate)}, ExpectedCachedTokens: bestCached, Cost: bestCost}, nil
 }
 
-// Answered implements scheduling.Policy.
-func (*allKnowing) Answered(time.Duration, *scheduling.Request, string, int) {}
+// ObserveResponse implements scheduling.Policy.
+func (*allKnowing) ObserveResponse(time.Duration, *scheduling.Request, string, int) {}
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -237,7 +237,7 @@
 		return
 	}
 	e := s.byID[decision.Endpoint.ID]
-	router.pool.RecordDispatch(s.now(), e.id, f.place.PromptTokens-decision.ExpectedCached)
+	router.pool.RecordDispatch(s.now(), e.id, f.place.PromptTokens-decision.ExpectedCachedTokens)
 	s.queue.After(2*hop, func() { s.deliver(f, e) })
 }
 
@@ -245,7 +245,7 @@
 	if !s.options.Conditions.Admission {
 		return true
 	}
-	missing := f.place.PromptTokens - decision.ExpectedCached
+	missing := f.place.PromptTokens - decision.ExpectedCachedTokens
 	prefill := time.Duration(float64(missing) / s.prefillRate * float64(time.Second))
 	return router.admission.Admit(s.now(), flowcontrol.Request{Tenant: f.request.Tenant, Weight: 1, Priority: f.class.Priority,
 		FirstToken: s.options.Deployment.Patience(f.class), Expected: decision.Endpoint.Wait + prefill, Cost: missing + f.request.Kind.OutputTokens}).Admitted
@@ -290,7 +290,7 @@
 	router.pool.RecordSuccess(engine)
 	s.metrics.answered()
 	if s.random.Float64() >= s.options.Conditions.HintLoss {
-		router.policy.Answered(s.now(), &f.place, engine, f.cached)
+		router.policy.ObserveResponse(s.now(), &f.place, engine, f.cached)
 	}
 }
 
--- a/internal/gateway/completions.go
+++ b/internal/gateway/completions.go
@@ -74,7 +74,7 @@
 }
 
 func (g *Gateway) admit(r *generation, decision scheduling.Decision) error {
-	missing := max(r.job.Place.PromptTokens-decision.ExpectedCached, 0)
+	missing := max(r.job.Place.PromptTokens-decision.ExpectedCachedTokens, 0)
 	prefill := time.Duration(float64(missing) / r.model.PrefillTokensPerSecond * float64(time.Second))
 	r.admit.Expected = decision.Endpoint.Wait + prefill
 	r.admit.Cost = missing + r.request.MaxTokens
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -125,7 +125,7 @@
 		return invalid(http.StatusBadRequest, "", refusal.Message)
 	case errors.Is(err, dispatch.ErrNotRun):
 		return notRun(http.StatusServiceUnavailable, err.Error(), time.Second)
-	case errors.Is(err, dispatch.ErrCut):
+	case errors.Is(err, dispatch.ErrInterrupted):
 		return unknownOutcome(err.Error())
 	}
 	return err
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -124,7 +124,7 @@
 		case controlapi.HeadDropped:
 			m.directory.Remove(endpoint, change.Head)
 		case controlapi.HeadsForgotten:
-			m.directory.Forget(endpoint)
+			m.directory.RemoveEndpoint(endpoint)
 		}
 	}
 	m.lastChange = reply.LastChange
--- a/internal/scheduling/affinity.go
+++ b/internal/scheduling/affinity.go
@@ -19,10 +19,10 @@
 	PrefillTokensPerSecond float64
 	// BasePenalty and LoadPenalty weigh recomputation against waiting: the
 	// penalty is BasePenalty in an idle pool and the sum of both when the
-	// median wait has reached FullPressure.
-	BasePenalty  float64
-	LoadPenalty  float64
-	FullPressure time.Duration
+	// median wait has reached SaturatedWait.
+	BasePenalty   float64
+	LoadPenalty   float64
+	SaturatedWait time.Duration
 	// TargetUtilization is the share of one engine's prefill that a prefix may
 	// ask for before it gets a further home.
 	TargetUtilization float64
@@ -40,7 +40,7 @@
 		PrefillTokensPerSecond: 7000,
 		BasePenalty:            1,
 		LoadPenalty:            6,
-		FullPressure:           500 * time.Millisecond,
+		SaturatedWait:          500 * time.Millisecond,
 		TargetUtilization:      1.5,
 		Routers:                1,
 		SpillLimit:             3,
@@ -97,11 +97,11 @@
 	}
 	best := candidates[a.picker.Pick(r, candidates)]
 	return Decision{
-		Endpoint:       *best.Endpoint,
-		Rank:           best.Rank,
-		ExpectedCached: best.ExpectedCached,
-		Considered:     len(candidates),
-		Cost:           best.Cost,
+		Endpoint:             *best.Endpoint,
+		Rank:                 best.Rank,
+		ExpectedCachedTokens: best.ExpectedCachedTokens,
+		Considered:           len(candidates),
+		Cost:                 best.Cost,
 	}, nil
 }
 
@@ -113,8 +113,8 @@
 	mostFresh = 512
 )
 
-// Answered implements Policy.
-func (a *affinity) Answered(now time.Duration, r *Request, endpoint string, cachedTokens int) {
+// ObserveResponse implements Policy.
+func (a *affinity) ObserveResponse(now time.Duration, r *Request, endpoint string, cachedTokens int) {
 	a.hints.observe(now, EndpointKey(endpoint), r.Chain)
 	uncached := min(float64(r.PromptTokens-cachedTokens), mostFresh)
 	a.fresh += (uncached - a.fresh) * freshGain
@@ -143,7 +143,7 @@
 			continue
 		}
 		expected := min(depths[rank]*prefix.BlockTokens, known)
-		out = append(out, Candidate{Endpoint: e, Rank: rank, ExpectedCached: expected})
+		out = append(out, Candidate{Endpoint: e, Rank: rank, ExpectedCachedTokens: expected})
 	}
 	return out
 }
--- a/internal/scheduling/baselines.go
+++ b/internal/scheduling/baselines.go
@@ -21,7 +21,7 @@
 	return Decision{Endpoint: *endpoints[rank], Rank: rank, Considered: len(endpoints)}, nil
 }
 
-func (*baseline) Answered(time.Duration, *Request, string, int) {}
+func (*baseline) ObserveResponse(time.Duration, *Request, string, int) {}
 
 // NewRoundRobin returns a policy that takes the endpoints in turn. Start sets
 // where a router begins, so that routers do not move in step.
--- a/internal/scheduling/directory.go
+++ b/internal/scheduling/directory.go
@@ -44,8 +44,8 @@
 	delete(d.heads[endpoint], head)
 }
 
-// Forget drops everything about an endpoint, such as after its restart.
-func (d *Directory) Forget(endpoint uint64) {
+// RemoveEndpoint drops everything about an endpoint, such as after its restart.
+func (d *Directory) RemoveEndpoint(endpoint uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.heads, endpoint)
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -104,9 +104,9 @@
 	Endpoint *Endpoint
 	// Rank is the endpoint's place in the request's rendezvous order, from 0.
 	Rank int
-	// ExpectedCached is how many prompt tokens the endpoint is expected to
+	// ExpectedCachedTokens is how many prompt tokens the endpoint is expected to
 	// hold in its cache.
-	ExpectedCached int
+	ExpectedCachedTokens int
 	// Cost is the sum of all scorers, in seconds.
 	Cost float64
 }
@@ -133,16 +133,16 @@
 	Name() string
 	// Pick returns the chosen endpoint or ErrNoEndpoint.
 	Pick(now time.Duration, request *Request, snapshot *Snapshot) (Decision, error)
-	// Answered tells the policy what an engine's answer showed.
-	Answered(now time.Duration, request *Request, endpoint string, cachedTokens int)
+	// ObserveResponse tells the policy what an engine's answer showed.
+	ObserveResponse(now time.Duration, request *Request, endpoint string, cachedTokens int)
 }
 
 // Decision is a chosen endpoint and why.
 type Decision struct {
 	Endpoint Endpoint
 	Rank     int
-	// ExpectedCached is in tokens.
-	ExpectedCached int
+	// ExpectedCachedTokens is in tokens.
+	ExpectedCachedTokens int
 	// Considered counts the candidates that were scored.
 	Considered int
 	// Cost is the winner's cost in seconds.
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -115,7 +115,7 @@
 		}
 	}
 	assert.Equal(t, pick(t, p, prompt(1), s), holder)
-	directory.Forget(EndpointKey(holder))
+	directory.RemoveEndpoint(EndpointKey(holder))
 	assert.Equal(t, pick(t, p, prompt(1), s), home)
 }
 
--- a/internal/scheduling/scorers.go
+++ b/internal/scheduling/scorers.go
@@ -18,8 +18,8 @@
 func (recomputeScorer) Name() string { return "recompute" }
 
 func (s recomputeScorer) Score(r *Request, c *Candidate, snapshot *Snapshot) float64 {
-	missing := float64(r.PromptTokens - c.ExpectedCached)
-	pressure := min(float64(snapshot.MedianWait)/float64(s.config.FullPressure), 1)
+	missing := float64(r.PromptTokens - c.ExpectedCachedTokens)
+	pressure := min(float64(snapshot.MedianWait)/float64(s.config.SaturatedWait), 1)
 	penalty := s.config.BasePenalty + s.config.LoadPenalty*pressure
 	return missing / s.config.PrefillTokensPerSecond * penalty
 }
