--- a/internal/scheduling/affinity.go
+++ b/internal/scheduling/affinity.go
@@ -10,30 +10,30 @@
 	"quinceridge.example/quinceridge/internal/prefix"
 )
 
-// Config tunes the affinity policy. docs/design/placement.md has the
-// measurements behind the values.
+// Config holds the parameters of the affinity policy.
 type Config struct {
-	// HomeBlocks is the depth, in blocks, whose digest names a prompt's home.
+	// HomeBlocks is the depth, in blocks, of the prefix that determines a prompt's homes, the
+	// endpoints at which its requests are placed first.
 	HomeBlocks int
-	// PrefillTokensPerSecond is an engine's prefill rate.
+	// PrefillTokensPerSecond is the prefill rate of one engine.
 	PrefillTokensPerSecond float64
-	// BasePenalty and LoadPenalty weigh recomputation against waiting: the
-	// penalty is BasePenalty in an idle pool and the sum of both when the
-	// median wait has reached SaturatedWait.
+	// BasePenalty and LoadPenalty weight the time of recomputing a prompt against the time in
+	// queue. The weight is BasePenalty in an idle pool and rises linearly to BasePenalty plus
+	// LoadPenalty at a median wait of SaturatedWait.
 	BasePenalty   float64
 	LoadPenalty   float64
 	SaturatedWait time.Duration
-	// TargetUtilization is the share of one engine's prefill that a prefix may
-	// ask for before it gets a further home.
+	// TargetUtilization is the prefill demand of a prefix, in engines, above which the prefix
+	// gets another home.
 	TargetUtilization float64
-	// Routers is how many routers see about the same traffic.
+	// Routers is the number of routers that share the traffic about equally.
 	Routers int
-	// SpillLimit is how many endpoints beyond the homes are considered without
-	// evidence that they hold the prompt.
+	// SpillLimit is the number of endpoints after the homes that are considered even if they
+	// were not observed to cache any of the prompt.
 	SpillLimit int
 }
 
-// DefaultConfig returns the values that docs/BENCH.md was measured with.
+// DefaultConfig returns the default parameters, for a single router.
 func DefaultConfig() Config {
 	return Config{
 		HomeBlocks:             16,
@@ -47,14 +47,13 @@
 	}
 }
 
-// minimumAffinityBlocks is the length below which a prompt has no home:
-// placing it by load costs less than keeping it together.
+// minimumAffinityBlocks is the chain length below which a prompt has no home, because recomputing
+// it costs less than the uneven load that affinity causes.
 const minimumAffinityBlocks = 4
 
-// affinity places a request at its prefix's home, an endpoint that every router
-// derives from the prompt alone, and spills when waiting there outweighs
-// recomputing elsewhere: first to endpoints that were seen to hold the prompt,
-// then along a fixed order.
+// affinity places a request at the home of its prefix, an endpoint that every router derives
+// from the prompt alone. When the wait there costs more than recomputing the prompt, the request
+// spills to endpoints that were observed to cache it or follow in rendezvous order.
 type affinity struct {
 	config  Config
 	filters []Filter
@@ -62,22 +61,22 @@
 	picker  Picker
 	hints   *hints
 	demand  *demand
-	// directory may be nil.
+	// directory is nil if no cache events are received.
 	directory *Directory
-	// fresh is the mean uncached tokens of answered requests.
-	fresh float64
+	// meanUncached is the moving average of the uncached prompt tokens per request.
+	meanUncached float64
 }
 
-// NewAffinity returns the product's own policy.
+// NewAffinity returns a policy that combines prefix affinity with load.
 func NewAffinity(config Config) Policy {
 	return &affinity{
-		config:  config,
-		filters: DefaultFilters(),
-		scorers: []Scorer{waitScorer{}, recomputeScorer{config}, suspectScorer{}},
-		picker:  lowestCost{},
-		hints:   newHints(),
-		demand:  newDemand(),
-		fresh:   prefix.BlockTokens,
+		config:       config,
+		filters:      DefaultFilters(),
+		scorers:      []Scorer{waitScorer{}, recomputeScorer{config}, suspectScorer{}},
+		picker:       lowestCost{},
+		hints:        newHints(),
+		demand:       newDemand(),
+		meanUncached: prefix.BlockTokens,
 	}
 }
 
@@ -106,51 +105,51 @@
 }
 
 const (
-	// freshGain is the weight of one answer in the mean of uncached tokens.
-	freshGain = 0.02
-	// mostFresh caps one answer's part, in tokens, so that a cold cache does
-	// not pass for long questions.
-	mostFresh = 512
+	// uncachedGain is the smoothing factor of meanUncached.
+	uncachedGain = 0.02
+	// maxUncachedSample caps each sample of meanUncached, in tokens, so that cold caches do not
+	// inflate it.
+	maxUncachedSample = 512
 )
 
 // ObserveResponse implements Policy.
 func (a *affinity) ObserveResponse(now time.Duration, r *Request, endpoint string, cachedTokens int) {
 	a.hints.observe(now, EndpointKey(endpoint), r.Chain)
-	uncached := min(float64(r.PromptTokens-cachedTokens), mostFresh)
-	a.fresh += (uncached - a.fresh) * freshGain
+	uncached := min(float64(r.PromptTokens-cachedTokens), maxUncachedSample)
+	a.meanUncached += (uncached - a.meanUncached) * uncachedGain
 }
 
 // UseDirectory implements DirectoryUser.
 func (a *affinity) UseDirectory(d *Directory) { a.directory = d }
 
-// candidates returns the homes, the spill endpoints and every endpoint with
-// evidence of holding some of the prompt, each with its expected cached tokens.
+// candidates returns the homes, the next SpillLimit endpoints and every endpoint that was observed
+// to cache a part of the prompt, each with its expected cached tokens.
 func (a *affinity) candidates(now time.Duration, r *Request, endpoints []*Endpoint) []Candidate {
 	if len(r.Chain) < minimumAffinityBlocks {
 		return withoutHome(endpoints)
 	}
 	home := r.Chain.Head(a.config.HomeBlocks)
 	ordered := order(home, endpoints)
-	depths := a.evidence(now, r, ordered)
-	width := min(a.width(now, home), len(ordered))
-	// Convention: the preferred home is taken to hold the whole prompt, so that
-	// all routers, fresh ones too, keep together.
-	depths[preferred(r, home, ordered[:width])] = len(r.Chain)
-	known := max(r.PromptTokens-int(a.fresh), 0)
-	out := make([]Candidate, 0, width+a.config.SpillLimit)
+	depths := a.observedDepths(now, r, ordered)
+	homeCount := min(a.homeCount(now, home), len(ordered))
+	// Assume that the preferred home caches the whole prompt, so that all routers agree on it,
+	// including those that have just started.
+	depths[preferredHome(r, home, ordered[:homeCount])] = len(r.Chain)
+	maxCached := max(r.PromptTokens-int(a.meanUncached), 0)
+	out := make([]Candidate, 0, homeCount+a.config.SpillLimit)
 	for rank, e := range ordered {
-		if rank >= width+a.config.SpillLimit && depths[rank] == 0 {
+		if rank >= homeCount+a.config.SpillLimit && depths[rank] == 0 {
 			continue
 		}
-		expected := min(depths[rank]*prefix.BlockTokens, known)
+		expected := min(depths[rank]*prefix.BlockTokens, maxCached)
 		out = append(out, Candidate{Endpoint: e, Rank: rank, ExpectedCachedTokens: expected})
 	}
 	return out
 }
 
-// evidence returns how many blocks of the prompt each endpoint was seen to
-// hold.
-func (a *affinity) evidence(now time.Duration, r *Request, ordered []*Endpoint) []int {
+// observedDepths returns the number of leading blocks of the prompt that each endpoint was
+// observed to cache.
+func (a *affinity) observedDepths(now time.Duration, r *Request, ordered []*Endpoint) []int {
 	depths := make([]int, len(ordered))
 	for rank, e := range ordered {
 		depths[rank] = a.hints.depth(now, e.Key, r.Chain)
@@ -161,21 +160,22 @@
 	return depths
 }
 
-// width is how many homes the prefix has now: as many as its uncached work
-// needs. One prefix can be too much for an engine even when it is cached.
-func (a *affinity) width(now time.Duration, home uint64) int {
-	seconds := a.fresh / a.config.PrefillTokensPerSecond
-	asked := a.demand.add(now, home, seconds) * float64(a.config.Routers)
-	wanted := asked / a.config.TargetUtilization
-	if wanted <= 1 {
+// homeCount records a request of the prefix and returns the number of homes that the prefix needs
+// for its uncached tokens, rounded up to a power of two. Even when cached, a popular prefix can
+// exceed the capacity of one engine.
+func (a *affinity) homeCount(now time.Duration, home uint64) int {
+	seconds := a.meanUncached / a.config.PrefillTokensPerSecond
+	load := a.demand.add(now, home, seconds) * float64(a.config.Routers)
+	required := load / a.config.TargetUtilization
+	if required <= 1 {
 		return 1
 	}
-	return 1 << bits.Len(uint(math.Ceil(wanted))-1)
+	return 1 << bits.Len(uint(math.Ceil(required))-1)
 }
 
-// preferred is the rank of the home that the request's tenant falls to. Another
-// home moves only the tenants that fall to it.
-func preferred(r *Request, home uint64, homes []*Endpoint) int {
+// preferredHome returns the rank of the home with the highest rendezvous weight for the request's
+// tenant. An added home takes over only the tenants for which its weight is the highest.
+func preferredHome(r *Request, home uint64, homes []*Endpoint) int {
 	if len(homes) == 1 {
 		return 0
 	}
@@ -189,6 +189,7 @@
 	return best
 }
 
+// withoutHome returns all endpoints as candidates, with no expected cached tokens.
 func withoutHome(endpoints []*Endpoint) []Candidate {
 	out := make([]Candidate, 0, len(endpoints))
 	for i, e := range endpoints {
@@ -197,7 +198,7 @@
 	return out
 }
 
-// lowestCost picks the least cost, and the lower rank of equals.
+// lowestCost picks the candidate with the lowest cost, and the first of them on a tie.
 type lowestCost struct{}
 
 func (lowestCost) Name() string { return "lowest-cost" }
--- a/internal/scheduling/baselines.go
+++ b/internal/scheduling/baselines.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// baseline applies the common filters and leaves the choice to a function. The
-// bench compares the product's policy with baselines.
+// baseline is a policy that applies the default filters and chooses with a function. Experiments
+// compare the affinity policy with baselines.
 type baseline struct {
 	name    string
 	filters []Filter
@@ -23,8 +23,8 @@
 
 func (*baseline) ObserveResponse(time.Duration, *Request, string, int) {}
 
-// NewRoundRobin returns a policy that takes the endpoints in turn. Start sets
-// where a router begins, so that routers do not move in step.
+// NewRoundRobin returns a policy that picks the endpoints in turn. Different values of start keep
+// routers from picking the same endpoints at the same time.
 func NewRoundRobin(start int) Policy {
 	next := start
 	return &baseline{name: "round-robin", filters: DefaultFilters(), choose: func(_ *Request, endpoints []*Endpoint) int {
@@ -33,7 +33,8 @@
 	}}
 }
 
-// NewLeastLoad returns a policy that takes the shortest expected wait.
+// NewLeastLoad returns a policy that picks the endpoint with the shortest expected wait. On a tie
+// it prefers the endpoint at index start, modulo the number of endpoints.
 func NewLeastLoad(start int) Policy {
 	return &baseline{name: "least-load", filters: DefaultFilters(), choose: func(_ *Request, endpoints []*Endpoint) int {
 		best := start % len(endpoints)
@@ -46,8 +47,8 @@
 	}}
 }
 
-// NewHash returns a policy that takes the first endpoint of the rendezvous
-// order, whatever its load. Prompts without a whole block are spread by tenant.
+// NewHash returns a policy that picks the first endpoint in the rendezvous order of the prompt's
+// first homeBlocks blocks, regardless of load. Prompts shorter than a block are hashed by tenant.
 func NewHash(homeBlocks int) Policy {
 	return &baseline{name: "hash", filters: DefaultFilters(), choose: func(r *Request, endpoints []*Endpoint) int {
 		key := r.Chain.Head(homeBlocks)
--- a/internal/scheduling/demand.go
+++ b/internal/scheduling/demand.go
@@ -6,34 +6,35 @@
 )
 
 const (
-	// demandHalfLife is how fast an observed request rate is forgotten.
+	// demandHalfLife is the half-life of a request's weight in the demand of its prefix.
 	demandHalfLife = 5 * time.Second
-	// demandLimit bounds how many prefixes are followed.
-	demandLimit = 4096
+	// maxDemandEntries bounds the number of tracked prefixes. At the limit all are dropped.
+	maxDemandEntries = 4096
 )
 
+// demandEntry is the exponentially decayed sum of engine seconds as of the time updated.
 type demandEntry struct {
-	mass float64
-	at   time.Duration
+	decayedSum float64
+	updated    time.Duration
 }
 
-// demand estimates the engine time per second that each prefix asks for.
+// demand estimates the engine seconds per second that the requests of each prefix need.
 type demand struct {
 	entries map[uint64]demandEntry
 }
 
 func newDemand() *demand { return &demand{entries: map[uint64]demandEntry{}} }
 
-// add records a request that costs the given engine seconds and returns the
-// prefix's demand in engine seconds per second.
+// add records a request that takes the given engine seconds and returns the demand of its prefix
+// in engine seconds per second.
 func (d *demand) add(now time.Duration, prefix uint64, seconds float64) float64 {
 	entry := d.entries[prefix]
-	halves := (now - entry.at).Seconds() / demandHalfLife.Seconds()
-	entry.mass = entry.mass*math.Exp2(-halves) + seconds
-	entry.at = now
-	if len(d.entries) >= demandLimit {
+	halfLives := (now - entry.updated).Seconds() / demandHalfLife.Seconds()
+	entry.decayedSum = entry.decayedSum*math.Exp2(-halfLives) + seconds
+	entry.updated = now
+	if len(d.entries) >= maxDemandEntries {
 		clear(d.entries)
 	}
 	d.entries[prefix] = entry
-	return entry.mass * math.Ln2 / demandHalfLife.Seconds()
+	return entry.decayedSum * math.Ln2 / demandHalfLife.Seconds()
 }
--- a/internal/scheduling/directory.go
+++ b/internal/scheduling/directory.go
@@ -6,16 +6,15 @@
 	"quinceridge.example/quinceridge/internal/prefix"
 )
 
-// HeadInterval is the distance, in blocks, between the chain depths whose
-// digests are published. Only they are kept and sent: one block in sixteen.
+// HeadInterval is the distance, in blocks, between heads: the blocks of a chain whose digests are
+// stored in the directory and sent to routers.
 const HeadInterval = 16
 
-// IsHead tells whether the block at a depth, counted from 1, is published.
+// IsHead reports whether the block at the given depth, counted from 1, is a head.
 func IsHead(depth int) bool { return depth > 0 && depth%HeadInterval == 0 }
 
-// Directory is what engines' cache events say about where chain heads are. It
-// is late and has gaps, and is never trusted for more than a cost. It is safe
-// for concurrent use.
+// Directory records which engines cache which heads, according to their cache events. It may be
+// stale and incomplete, so it is used only to estimate costs. It is safe for concurrent use.
 type Directory struct {
 	mu    sync.RWMutex
 	heads map[uint64]map[uint64]struct{} // by endpoint key
@@ -24,7 +23,7 @@
 // NewDirectory returns an empty directory.
 func NewDirectory() *Directory { return &Directory{heads: map[uint64]map[uint64]struct{}{}} }
 
-// Add notes that the endpoint holds a head.
+// Add records that the endpoint caches the head.
 func (d *Directory) Add(endpoint, head uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -37,28 +36,28 @@
 	held[head] = struct{}{}
 }
 
-// Remove notes that the endpoint has dropped a head.
+// Remove records that the endpoint has evicted the head.
 func (d *Directory) Remove(endpoint, head uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.heads[endpoint], head)
 }
 
-// RemoveEndpoint drops everything about an endpoint, such as after its restart.
+// RemoveEndpoint removes all heads of an endpoint, for example after a restart.
 func (d *Directory) RemoveEndpoint(endpoint uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.heads, endpoint)
 }
 
-// Clear drops everything.
+// Clear removes all entries.
 func (d *Directory) Clear() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	clear(d.heads)
 }
 
-// Size returns how many heads are known.
+// Size returns the number of entries, counting a head once for each endpoint that caches it.
 func (d *Directory) Size() int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -69,9 +68,8 @@
 	return n
 }
 
-// depth returns the deepest published block of the chain that the endpoint
-// holds, 0 for none. Engines drop the ends of chains first, so a deep head
-// stands for all before it even when their events were lost.
+// depth returns the depth of the deepest head of the chain that the endpoint caches, or 0. Engines
+// evict chains from the end, so a head implies all blocks before it even if their events were lost.
 func (d *Directory) depth(endpoint uint64, chain prefix.Chain) int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -87,8 +85,8 @@
 	return 0
 }
 
-// DirectoryUser is a policy that takes a directory.
+// DirectoryUser is implemented by policies that use a directory.
 type DirectoryUser interface {
-	// UseDirectory gives the policy the directory that its router keeps.
+	// UseDirectory sets the directory that the policy reads.
 	UseDirectory(d *Directory)
 }
--- a/internal/scheduling/filters.go
+++ b/internal/scheduling/filters.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// modelFilter keeps endpoints that serve the request's model with weights that
-// are no older than the ones asked for.
+// modelFilter keeps endpoints that serve the requested model with at least the requested version
+// of its weights.
 type modelFilter struct{}
 
 func (modelFilter) Name() string { return "model" }
@@ -12,14 +12,14 @@
 	return e.Model == r.Model && e.WeightsVersion >= r.MinimumWeights
 }
 
-// liveFilter keeps endpoints that take new work.
+// liveFilter drops endpoints that accept no new requests.
 type liveFilter struct{}
 
 func (liveFilter) Name() string { return "live" }
 
 func (liveFilter) Keep(_ *Request, e *Endpoint) bool { return e.State != Leaving }
 
-// excludedFilter drops endpoints that already failed the request.
+// excludedFilter drops endpoints at which an earlier attempt of the request failed.
 type excludedFilter struct{}
 
 func (excludedFilter) Name() string { return "excluded" }
@@ -33,9 +33,8 @@
 	return []Filter{modelFilter{}, liveFilter{}, excludedFilter{}}
 }
 
-// apply returns the endpoints that pass all filters. Suspect endpoints are
-// returned only when no live one passes: a fault that all endpoints share must
-// not empty the pool.
+// apply returns the endpoints that pass all filters. Suspect endpoints are returned only if no
+// live one passes, so that a failure common to all endpoints does not leave the pool empty.
 func apply(filters []Filter, request *Request, snapshot *Snapshot) []*Endpoint {
 	var live, suspect []*Endpoint
 	for i := range snapshot.Endpoints {
@@ -55,6 +54,7 @@
 	return live
 }
 
+// keep reports whether the endpoint passes all filters.
 func keep(filters []Filter, request *Request, endpoint *Endpoint) bool {
 	for _, f := range filters {
 		if !f.Keep(request, endpoint) {
--- a/internal/scheduling/hints.go
+++ b/internal/scheduling/hints.go
@@ -7,17 +7,17 @@
 	"quinceridge.example/quinceridge/internal/prefix"
 )
 
-// hintDepths are the chain depths, in blocks, at which an observed cache
-// content is remembered.
+// hintDepths are the chain depths, in blocks, at which cached blocks are recorded.
 var hintDepths = []int{4, 8, 16, 24, 32, 48, 64, 80, 96, 112, 128, 160, 192, 256}
 
 const (
-	// hintLimit bounds the table. At about 120 bytes an entry it is 8 MB.
-	hintLimit = 65536
-	// hintLifetime is how long an observation is believed.
-	hintLifetime = 20 * time.Second
+	// maxHints bounds the table to about 8 MB.
+	maxHints = 65536
+	// hintTTL is the time after its last update at which a hint expires.
+	hintTTL = 20 * time.Second
 )
 
+// hintKey identifies a block by its digest, and an endpoint by its rendezvous key.
 type hintKey struct {
 	block    uint64
 	endpoint uint64
@@ -28,8 +28,8 @@
 	seen time.Duration
 }
 
-// hints remembers which chain heads engines were seen to hold, or to lack, in
-// their own answers. It is a bounded least-recently-used table.
+// hints records which blocks engines cache, derived from the requests that they answered. It
+// evicts the least recently updated entry when full.
 type hints struct {
 	order   *list.List
 	entries map[hintKey]*list.Element
@@ -39,8 +39,7 @@
 	return &hints{order: list.New(), entries: map[hintKey]*list.Element{}}
 }
 
-// observe records an answer: the endpoint held cached blocks of the chain
-// before the request, and holds all of it after.
+// observe records that the endpoint answered a request with this chain and so caches all of it.
 func (h *hints) observe(now time.Duration, endpoint uint64, chain prefix.Chain) {
 	for _, depth := range hintDepths {
 		if depth > len(chain) {
@@ -57,15 +56,15 @@
 		return
 	}
 	h.entries[entry.key] = h.order.PushFront(entry)
-	if h.order.Len() > hintLimit {
+	if h.order.Len() > maxHints {
 		last := h.order.Back()
 		delete(h.entries, last.Value.(hint).key)
 		h.order.Remove(last)
 	}
 }
 
-// depth returns the deepest block of the chain that the endpoint was lately
-// seen to hold, 0 when nothing is known.
+// depth returns the greatest of hintDepths up to which the endpoint has unexpired hints for the
+// chain without a gap, or 0.
 func (h *hints) depth(now time.Duration, endpoint uint64, chain prefix.Chain) int {
 	found := 0
 	for _, depth := range hintDepths {
@@ -73,7 +72,7 @@
 			break
 		}
 		element, ok := h.entries[hintKey{chain[depth-1], endpoint}]
-		if !ok || now-element.Value.(hint).seen > hintLifetime {
+		if !ok || now-element.Value.(hint).seen > hintTTL {
 			break
 		}
 		found = depth
--- a/internal/scheduling/rendezvous.go
+++ b/internal/scheduling/rendezvous.go
@@ -7,11 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// EndpointKey derives the rendezvous key of an endpoint's name.
+// EndpointKey returns the rendezvous key of the endpoint with the given ID.
 func EndpointKey(id string) uint64 { return xxhash.Sum64String(id) }
 
-// weight is the rendezvous weight of an endpoint for a key. Every router
-// computes the same order from the names alone, with no message and no state.
+// weight returns the rendezvous weight of an endpoint for a key. It depends on the two alone, so
+// routers compute the same order without exchanging messages.
 func weight(key, endpoint uint64) uint64 {
 	high, low := bits.Mul64(key^0x9e3779b97f4a7c15, endpoint|1)
 	mixed := high ^ low ^ endpoint
@@ -21,7 +21,7 @@
 	return mixed
 }
 
-// order sorts endpoints by falling rendezvous weight for the key.
+// order sorts endpoints in place, by descending rendezvous weight for the key, and returns them.
 func order(key uint64, endpoints []*Endpoint) []*Endpoint {
 	weights := make(map[*Endpoint]uint64, len(endpoints))
 	for _, e := range endpoints {
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -1,11 +1,10 @@
-// Package scheduling decides which endpoint serves a request. A decision is
-// made over a snapshot of the endpoints by named steps: filters drop endpoints
-// that must not serve it, scorers give each of the rest a cost in seconds, and
-// a picker chooses.
+// Package scheduling decides which endpoint serves a request. A policy works on a snapshot of the
+// endpoints: filters drop those that must not serve the request, scorers add up a cost in seconds
+// for each of the others, and a picker chooses one.
 //
-// Nothing here is trusted for safety: the engine refuses a request whose
-// incarnation, tenant or weights version does not fit. The package is pure and
-// is run by the router process and by the simulator alike.
+// Decisions need not be correct for safety, since engines refuse requests whose incarnation,
+// tenant or weights version does not match. The package does no I/O and reads no clock, so that
+// simulations can run it as well as the router.
 package scheduling
 
 import (
@@ -17,66 +16,65 @@
 	"quinceridge.example/quinceridge/internal/prefix"
 )
 
-// ErrNoEndpoint is returned when every endpoint was filtered out.
+// ErrNoEndpoint is returned if no endpoint passes the filters.
 var ErrNoEndpoint = errors.New("no endpoint can serve the request")
 
-// State is what is known of an endpoint's willingness to work.
+// State is the availability of an endpoint.
 type State int
 
 // The states of an endpoint.
 const (
-	// Live endpoints take new work.
+	// Live endpoints accept new requests.
 	Live State = iota
-	// Leaving endpoints finish what they have.
+	// Leaving endpoints are draining: they finish their requests and accept no new ones.
 	Leaving
-	// Suspect endpoints failed attempts lately. They are used only when no
-	// other is left.
+	// Suspect endpoints have failed recently or report no load. They are used only if no live
+	// endpoint passes the filters.
 	Suspect
 )
 
 // Endpoint is one engine in a snapshot.
 type Endpoint struct {
-	// ID is the engine's name, stable over restarts.
+	// ID is the engine's name, which it keeps across restarts.
 	ID string
-	// Key is the rendezvous key, derived from ID.
-	Key uint64
-	// Zone is where the engine stands.
+	// Key is EndpointKey(ID).
+	Key  uint64
 	Zone string
-	// Model is the model that is loaded.
+	// Model is the name of the loaded model.
 	Model string
-	// WeightsVersion is the version of the loaded weights.
+	// WeightsVersion is the version of the model's loaded weights.
 	WeightsVersion int
 	// Incarnation changes at every start of the engine.
 	Incarnation string
 	State       State
-	// Wait is the expected time in queue, from the reported load and the
-	// router's own work in flight.
+	// Wait is the expected time in queue, estimated from the reported load and this router's
+	// requests in flight.
 	Wait time.Duration
 }
 
-// Request is what a decision needs to know of a request.
+// Request holds the properties of a request that placement depends on.
 type Request struct {
-	Model          string
+	Model string
+	// MinimumWeights is the lowest version of the model's weights that may serve the request.
 	MinimumWeights int
-	// Chain and PromptTokens describe the prompt.
+	// Chain holds the digests of the prompt's blocks.
 	Chain        prefix.Chain
 	PromptTokens int
-	// Tenant names the owner of the prompt's cache entries.
+	// Tenant is the owner of the prompt's cache entries.
 	Tenant string
-	// Excluded lists endpoints that already failed this request.
+	// Excluded lists the IDs of endpoints at which earlier attempts of this request failed.
 	Excluded []string
 }
 
-// Snapshot is the endpoints at one time. It is never changed once in use.
+// Snapshot is the state of all endpoints at one time. It is immutable once passed to a policy.
 type Snapshot struct {
 	Endpoints []Endpoint
-	// MedianWait is the middle of the live endpoints' waits, filled by
-	// Summarize. It tells a pool without spare capacity from one that has a few
-	// hot endpoints.
+	// MedianWait is the median wait of the live endpoints, set by Summarize. It is high in a pool
+	// without spare capacity, but not in one with only a few overloaded endpoints.
 	MedianWait time.Duration
 }
 
-// Summarize fills the pool's figures.
+// Summarize sets MedianWait from the endpoints. It leaves it as is if none is live.
 func (s *Snapshot) Summarize() {
 	waits := make([]time.Duration, 0, len(s.Endpoints))
 	for i := range s.Endpoints {
@@ -93,58 +91,57 @@
 
 // Filter drops endpoints that must not serve a request.
 type Filter interface {
-	// Name is the fixed name of the filter in logs and traces.
+	// Name returns the filter's constant name for logs and traces.
 	Name() string
-	// Keep tells whether the endpoint may serve the request.
+	// Keep reports whether the endpoint may serve the request.
 	Keep(request *Request, endpoint *Endpoint) bool
 }
 
-// Candidate is an endpoint under decision.
+// Candidate is an endpoint that passed the filters.
 type Candidate struct {
 	Endpoint *Endpoint
-	// Rank is the endpoint's place in the request's rendezvous order, from 0.
+	// Rank is the endpoint's index in the request's rendezvous order.
 	Rank int
-	// ExpectedCachedTokens is how many prompt tokens the endpoint is expected to
-	// hold in its cache.
+	// ExpectedCachedTokens is the number of prompt tokens that the endpoint probably caches.
 	ExpectedCachedTokens int
-	// Cost is the sum of all scorers, in seconds.
+	// Cost is the sum of all scores, in seconds.
 	Cost float64
 }
 
-// Scorer gives a candidate a cost.
+// Scorer computes a part of a candidate's cost.
 type Scorer interface {
-	// Name is the fixed name of the scorer in logs and traces.
+	// Name returns the scorer's constant name for logs and traces.
 	Name() string
-	// Score returns a cost in seconds, 0 or more. Lower is better.
+	// Score returns a non-negative cost in seconds.
 	Score(request *Request, candidate *Candidate, snapshot *Snapshot) float64
 }
 
-// Picker chooses among scored candidates.
+// Picker chooses one of the scored candidates.
 type Picker interface {
-	// Name is the fixed name of the picker in logs and traces.
+	// Name returns the picker's constant name for logs and traces.
 	Name() string
-	// Pick returns the index of the chosen candidate of a non-empty list.
+	// Pick returns the index of the chosen candidate. The list must not be empty.
 	Pick(request *Request, candidates []Candidate) int
 }
 
-// Policy decides for requests.
+// Policy chooses endpoints for requests. It need not be safe for concurrent use.
 type Policy interface {
-	// Name is the policy's name on the command line and in reports.
+	// Name returns the policy's name on the command line and in reports.
 	Name() string
-	// Pick returns the chosen endpoint or ErrNoEndpoint.
+	// Pick chooses an endpoint for the request. It returns ErrNoEndpoint if there is none.
 	Pick(now time.Duration, request *Request, snapshot *Snapshot) (Decision, error)
-	// ObserveResponse tells the policy what an engine's answer showed.
+	// ObserveResponse records that the endpoint with the given ID answered the request, and how
+	// many prompt tokens it had cached.
 	ObserveResponse(now time.Duration, request *Request, endpoint string, cachedTokens int)
 }
 
-// Decision is a chosen endpoint and why.
+// Decision is a chosen endpoint with the values that the choice was based on.
 type Decision struct {
-	Endpoint Endpoint
-	Rank     int
-	// ExpectedCachedTokens is in tokens.
+	Endpoint             Endpoint
+	Rank                 int
 	ExpectedCachedTokens int
-	// Considered counts the candidates that were scored.
+	// Considered is the number of candidates.
 	Considered int
-	// Cost is the winner's cost in seconds.
+	// Cost is the cost of the chosen endpoint in seconds.
 	Cost float64
 }
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -10,9 +10,10 @@
 	"quinceridge.example/quinceridge/internal/prefix"
 )
 
-func chain(name uint64, blocks int) prefix.Chain {
+// chain returns a chain whose digests depend on the seed.
+func chain(seed uint64, blocks int) prefix.Chain {
 	var out prefix.Chain
-	previous := name
+	previous := seed
 	for i := range blocks {
 		previous = prefix.Extend(previous, uint64(i))
 		out = append(out, previous)
@@ -30,8 +31,8 @@
 	return s
 }
 
-func prompt(name uint64) *Request {
-	return &Request{Model: "m", Chain: chain(name, 64), PromptTokens: 64*prefix.BlockTokens + 30}
+func prompt(seed uint64) *Request {
+	return &Request{Model: "m", Chain: chain(seed, 64), PromptTokens: 64*prefix.BlockTokens + 30}
 }
 
 func pick(t *testing.T, p Policy, r *Request, s *Snapshot) string {
@@ -41,19 +42,19 @@
 	return d.Endpoint.ID
 }
 
-func TestFreshRoutersAgreeOnTheHome(t *testing.T) {
-	for name := range uint64(50) {
-		first := pick(t, NewAffinity(DefaultConfig()), prompt(name), pool(12))
-		second := pick(t, NewAffinity(DefaultConfig()), prompt(name), pool(12))
+func TestAffinityPicksSameHomeOnFreshRouters(t *testing.T) {
+	for seed := range uint64(50) {
+		first := pick(t, NewAffinity(DefaultConfig()), prompt(seed), pool(12))
+		second := pick(t, NewAffinity(DefaultConfig()), prompt(seed), pool(12))
 		assert.Equal(t, first, second)
 	}
 }
 
-func TestALostEngineMovesOnlyItsOwnPrefixes(t *testing.T) {
+func TestAffinityMovesOnlyPrefixesOfRemovedEngine(t *testing.T) {
 	moved := 0
-	for name := range uint64(200) {
-		before := pick(t, NewAffinity(DefaultConfig()), prompt(name), pool(12))
-		after := pick(t, NewAffinity(DefaultConfig()), prompt(name), pool(11))
+	for seed := range uint64(200) {
+		before := pick(t, NewAffinity(DefaultConfig()), prompt(seed), pool(12))
+		after := pick(t, NewAffinity(DefaultConfig()), prompt(seed), pool(11))
 		if before != after {
 			moved++
 			assert.Equal(t, before, "engine-11")
@@ -62,7 +63,7 @@
 	assert.Assert(t, moved > 0)
 }
 
-func TestWaitingSpillsAlongAFixedOrderOnly(t *testing.T) {
+func TestAffinitySpillsInFixedOrderWhenHomeIsOverloaded(t *testing.T) {
 	s := pool(12)
 	p := NewAffinity(DefaultConfig())
 	home := pick(t, p, prompt(1), s)
@@ -71,7 +72,7 @@
 			s.Endpoints[i].Wait = 200 * time.Millisecond
 		}
 	}
-	assert.Equal(t, pick(t, p, prompt(1), s), home) // recomputing costs more
+	assert.Equal(t, pick(t, p, prompt(1), s), home) // recomputing elsewhere costs more
 	for i := range s.Endpoints {
 		if s.Endpoints[i].ID == home {
 			s.Endpoints[i].Wait = 20 * time.Second
@@ -82,7 +83,7 @@
 	assert.Equal(t, pick(t, NewAffinity(DefaultConfig()), prompt(1), s), spilled)
 }
 
-func TestABusyPoolSpillsLater(t *testing.T) {
+func TestAffinitySpillsLaterWhenPoolIsLoaded(t *testing.T) {
 	s := pool(12)
 	p := NewAffinity(DefaultConfig())
 	home := pick(t, p, prompt(1), s)
@@ -96,7 +97,7 @@
 	assert.Equal(t, pick(t, p, prompt(1), s), home)
 }
 
-func TestEvidenceIsPreferredToRecomputing(t *testing.T) {
+func TestAffinityPrefersObservedCacheToRecomputing(t *testing.T) {
 	s := pool(12)
 	p := NewAffinity(DefaultConfig())
 	directory := NewDirectory()
@@ -119,7 +120,7 @@
 	assert.Equal(t, pick(t, p, prompt(1), s), home)
 }
 
-func TestFiltersDropWhatMustNotServe(t *testing.T) {
+func TestFiltersDropUnsuitableEndpoints(t *testing.T) {
 	s := pool(3)
 	s.Endpoints[0].WeightsVersion = 1
 	s.Endpoints[1].State = Leaving
@@ -133,7 +134,7 @@
 	assert.ErrorIs(t, err, ErrNoEndpoint)
 }
 
-func TestAFaultThatAllShareDoesNotEmptyThePool(t *testing.T) {
+func TestFiltersKeepSuspectEndpointsWhenNoneIsLive(t *testing.T) {
 	s := pool(3)
 	s.Endpoints[0].State = Suspect
 	for range 5 {
--- a/internal/scheduling/scorers.go
+++ b/internal/scheduling/scorers.go
@@ -1,6 +1,6 @@
 package scheduling
 
-// waitScorer costs the expected time in queue. Range: 0 and up.
+// waitScorer scores the expected time in queue.
 type waitScorer struct{}
 
 func (waitScorer) Name() string { return "wait" }
@@ -9,10 +9,9 @@
 	return c.Endpoint.Wait.Seconds()
 }
 
-// recomputeScorer costs the prefill of tokens that the endpoint is not
-// expected to hold, times a penalty that rises with the pool's load. Near
-// capacity each needless copy of a prefix takes the capacity whose lack caused
-// it; a constant penalty lets that feed on itself. Range: 0 and up.
+// recomputeScorer scores the prefill time of the tokens that the endpoint is not expected to
+// cache, multiplied by a penalty that rises with the pool's load. With a constant penalty, requests
+// that spill in a loaded pool would add prefill work and so cause more requests to spill.
 type recomputeScorer struct{ config Config }
 
 func (recomputeScorer) Name() string { return "recompute" }
@@ -24,11 +23,10 @@
 	return missing / s.config.PrefillTokensPerSecond * penalty
 }
 
-// suspectScorer steers away from endpoints that failed attempts lately.
-// Range: 0 or suspectCost.
+// suspectScorer adds suspectCost to suspect endpoints.
 type suspectScorer struct{}
 
-const suspectCost = 30.0
+const suspectCost = 30.0 // seconds
 
 func (suspectScorer) Name() string { return "suspect" }
 
