--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,12 +1,11 @@
-// Package dispatch runs a generation request on engines until its caller has
-// the whole answer, in order, or an explicit end.
+// Package dispatch runs generation requests on engines. It retries and resumes a request until the
+// caller has received the complete answer in order, or returns an error.
 //
-// An attempt goes through typed stages. Up to Accepted the engine has not begun
-// and the request is placed again; from then on the answer has begun, and a
-// lost engine or connection is met by resuming at the index that is wanted
-// next. Nothing that an earlier attempt still sends can reach the caller: each
-// attempt has its own connection, its events carry the request's name and
-// their index, and anything else ends the attempt.
+// An attempt passes through stages. Until the engine has accepted the request, a failed request is
+// placed again on another engine. After that, a lost connection or engine is handled by resuming
+// at the index of the next missing token. Events of earlier attempts cannot reach the caller: each
+// attempt has its own connection, every event carries the request's ID and an index, and an
+// event with another ID or a skipped index ends the attempt.
 package dispatch
 
 import (
@@ -31,79 +30,83 @@
 // Limits of an attempt.
 const (
 	dialTimeout = 500 * time.Millisecond
-	// headerTimeout bounds the time from sending to the engine's acceptance.
-	// Engines accept before they queue.
+	// headerTimeout is the timeout for the engine's response headers. Engines send them before
+	// the request enters their queue.
 	headerTimeout = 2 * time.Second
-	// idleTimeout bounds the silence within a stream. Engines send a comment
-	// at least every second while a request waits.
+	// idleTimeout is the timeout for the next data of a stream. Engines send a comment at least
+	// every second while a request waits.
 	idleTimeout = 4 * time.Second
-	// maxAttempts bounds the engines that one request is sent to.
+	// maxAttempts bounds the number of engines that one request is sent to.
 	maxAttempts = 5
-	// maxResumes bounds how often one attempt is resumed on its engine.
+	// maxResumes bounds the number of times that an attempt is resumed on its engine.
 	maxResumes = 2
-	// defaultBackoff is the mean pause before a first retry.
+	// defaultBackoff is the default mean delay before the first retry.
 	defaultBackoff = 20 * time.Millisecond
 )
 
-// ErrNotRun is the mark of errors that say that no part of the answer was
-// given and none will be.
+// ErrNotRun marks errors of requests that no engine has run or will run.
 var ErrNotRun = errors.New("the request was not run")
 
-// ErrInterrupted is returned when an answer was begun and cannot be completed.
+// ErrInterrupted marks errors of requests that an engine may have begun to run and whose answer
+// cannot be completed.
 var ErrInterrupted = errors.New("the answer cannot be completed")
 
-// ErrNotHeld is returned when a resumed request is not held any more.
+// ErrNotHeld is returned if the engine no longer holds the request to resume.
 var ErrNotHeld = errors.New("the request is not held any more; ask again from the start")
 
 // Job is one generation request.
 type Job struct {
-	// ID names the request at the engines and in logs. It is unique.
+	// ID identifies the request to engines and in logs. It must be unique.
 	ID string
-	// Path is the engine's path, such as engineapi.PathCompletions.
+	// Path is the HTTP path on the engine, such as engineapi.PathCompletions.
 	Path string
-	// Body is the caller's body by its top-level fields.
+	// Body holds the top-level fields of the request body. Run and Resume modify it.
 	Body map[string]json.RawMessage
-	// Place describes the request to placement.
+	// Place holds the properties of the request that placement depends on.
 	Place scheduling.Request
 	Scope prefix.Scope
-	// Priority orders waiting work at the engine.
+	// Priority orders requests in the engine's queue.
 	Priority int
-	// Continuation allows another engine to go on with a begun answer.
+	// Continuation allows another engine to continue a partial answer.
 	Continuation bool
-	// Resume is set when the caller comes back with a token.
+	// Resume is the token of a caller that reconnects, or nil.
 	Resume *Token
-	// Span records what happens. It may be nil.
+	// Span records the steps of the job. It may be nil.
 	Span *trace.Span
 }
 
-// Sink takes the answer. Its methods are called in order, from one goroutine.
+// Sink receives an answer. Its methods are called sequentially.
 type Sink interface {
-	// Chunk takes one event of the answer. Index counts tokens from 0; the
-	// final event, which has no token, carries the number of tokens.
+	// Chunk receives the next event of the answer. An error ends the job. The token's Next is the
+	// index of the following event or, in the final event, of that event itself, which is also
+	// the number of generated tokens.
 	Chunk(token Token, data string, chunk *engineapi.Chunk) error
 }
 
-// Config is what a Dispatcher works with.
+// Config holds the dependencies and parameters of a Dispatcher.
 type Config struct {
-	Pool   *membership.Pool
+	Pool *membership.Pool
+	// Policy returns the placement policy of a model. Calls to it and to the policy are serialized.
 	Policy func(model string) scheduling.Policy
+	// Now returns the time on the clock that Pool and Policy use.
 	Now    func() time.Duration
 	Logger *slog.Logger
-	// Backoff is the mean pause before a first retry. Default 20ms.
+	// Backoff is the mean delay before the first retry. The default is 20ms.
 	Backoff time.Duration
 }
 
-// Dispatcher runs jobs. It is safe for concurrent use. Lock order: policies
-// (its own lock), then the pool's.
+// Dispatcher runs jobs. It is safe for concurrent use.
 type Dispatcher struct {
 	config Config
 	client *http.Client
 	budget *flowcontrol.RetryBudget
 
-	policies sync.Mutex
+	// policiesMu guards config.Policy and the policies that it returns. It may be held while the
+	// pool's lock is acquired, but not the reverse.
+	policiesMu sync.Mutex
 }
 
-// New returns a dispatcher.
+// New returns a dispatcher with the given configuration.
 func New(config Config) *Dispatcher {
 	if config.Backoff == 0 {
 		config.Backoff = defaultBackoff
@@ -111,38 +114,40 @@
 	return &Dispatcher{config: config, client: newHTTPClient(), budget: flowcontrol.NewRetryBudget()}
 }
 
-// Place chooses an endpoint for a request.
+// Place chooses an endpoint for a request. It returns scheduling.ErrNoEndpoint if there is none.
 func (d *Dispatcher) Place(request *scheduling.Request) (scheduling.Decision, error) {
 	snapshot := d.config.Pool.Snapshot(d.config.Now())
-	d.policies.Lock()
-	defer d.policies.Unlock()
+	d.policiesMu.Lock()
+	defer d.policiesMu.Unlock()
 	return d.config.Policy(request.Model).Pick(d.config.Now(), request, snapshot)
 }
 
-// answered tells placement what an engine's answer showed.
-func (d *Dispatcher) answered(job *Job, endpoint string, cached int) {
-	d.policies.Lock()
-	defer d.policies.Unlock()
+// observeResponse reports a complete answer and its cached prompt tokens to the placement policy.
+func (d *Dispatcher) observeResponse(job *Job, endpoint string, cached int) {
+	d.policiesMu.Lock()
+	defer d.policiesMu.Unlock()
 	d.config.Policy(job.Place.Model).ObserveResponse(d.config.Now(), &job.Place, endpoint, cached)
 }
 
-// progress is how far the caller's answer has come.
+// progress is the part of an answer that the caller has received.
 type progress struct {
-	// next is the index of the token that the caller needs next.
+	// next is the index of the next token to send to the caller.
 	next int
-	// text is the generated text that the caller has.
+	// text is the generated text that this job has sent to the caller.
 	text strings.Builder
-	// known says that text holds all tokens before next.
-	known bool
-	done  bool
-	// begun says that some engine may have worked on the request.
-	begun bool
+	// textComplete reports whether text holds all tokens before next. It is false for a resumed
+	// job, whose first tokens another connection sent.
+	textComplete bool
+	// done reports whether the caller has received the final event.
+	done bool
+	// mayHaveRun reports whether any engine may have begun to run the request.
+	mayHaveRun bool
 }
 
-// Run runs a job. The first decision has been made by the caller, which needed
-// it for admission. A nil error means that the sink has the whole answer.
+// Run runs a job, starting at the endpoint of the given decision. A nil error means that the sink
+// has received the complete answer.
 func (d *Dispatcher) Run(ctx context.Context, job *Job, first scheduling.Decision, sink Sink) error {
-	p := &progress{known: true}
+	p := &progress{textComplete: true}
 	decision := first
 	for attempt := 1; ; attempt++ {
 		err := d.attempt(ctx, job, decision, p, sink)
@@ -150,48 +155,49 @@
 			d.budget.Earn()
 			return nil
 		}
-		if final := d.final(ctx, job, p, err, attempt); final != nil {
-			return final
+		if terminalError := d.terminalError(ctx, job, p, err, attempt); terminalError != nil {
+			return terminalError
 		}
 		job.Place.Excluded = append(job.Place.Excluded, decision.Endpoint.ID)
 		job.Span.Step("retry", err.Error())
-		d.pause(ctx, attempt)
+		d.waitBeforeRetry(ctx, attempt)
 		if decision, err = d.Place(&job.Place); err != nil {
-			return d.unplaced(p, err)
+			return d.markFailed(p, err)
 		}
 	}
 }
 
-// final returns the error to end with, or nil when another attempt is due.
-func (d *Dispatcher) final(ctx context.Context, job *Job, p *progress, err error, attempt int) error {
+// terminalError returns the error of a job whose attempt failed with err, or nil if the job should
+// be retried on another engine.
+func (d *Dispatcher) terminalError(ctx context.Context, job *Job, p *progress, err error, attempt int) error {
 	switch {
 	case isCallerError(err):
 		return err
 	case ctx.Err() != nil:
 		return errors.Wrap(ctx.Err(), "caller gone")
-	case p.next > 0 && (!job.Continuation || !p.known):
+	case p.next > 0 && (!job.Continuation || !p.textComplete):
 		return errors.Mark(err, ErrInterrupted)
 	case attempt >= maxAttempts:
-		return d.unplaced(p, err)
+		return d.markFailed(p, err)
 	case !notRun(err) && !d.budget.Spend():
-		// The engine may be working on it. Generation is repeatable, but
-		// repeats must stay a share of the traffic.
-		return d.unplaced(p, errors.Wrap(err, "retry budget is spent"))
+		// The engine may be running the request. Generation may be repeated, but only within the
+		// retry budget.
+		return d.markFailed(p, errors.Wrap(err, "retry budget is exhausted"))
 	}
 	return nil
 }
 
-// unplaced ends a job that no engine takes. It is "not run" only when no
-// engine can have begun.
-func (d *Dispatcher) unplaced(p *progress, err error) error {
-	if p.begun {
+// markFailed marks the error of a job that is not retried as ErrInterrupted if an engine may have
+// begun to run it, and as ErrNotRun otherwise.
+func (d *Dispatcher) markFailed(p *progress, err error) error {
+	if p.mayHaveRun {
 		return errors.Mark(err, ErrInterrupted)
 	}
 	return errors.Mark(err, ErrNotRun)
 }
 
-// Resume goes on with an answer that another router began, on the engine that
-// holds it and nowhere else.
+// Resume continues an answer from the caller's token, only on the engine that runs the request. It
+// returns ErrNotHeld if the engine no longer holds it.
 func (d *Dispatcher) Resume(ctx context.Context, job *Job, sink Sink) error {
 	p := &progress{next: job.Resume.Next}
 	endpoint := scheduling.Endpoint{ID: job.Resume.Engine, Incarnation: job.Resume.Incarnation}
@@ -207,8 +213,7 @@
 	return errors.Mark(err, ErrInterrupted)
 }
 
-// attempt runs a job on one engine, resuming there when only the connection was
-// lost.
+// attempt runs a job on one engine. It resumes on that engine if the stream breaks.
 func (d *Dispatcher) attempt(ctx context.Context, job *Job, decision scheduling.Decision, p *progress, sink Sink) error {
 	endpoint := decision.Endpoint
 	missing := job.Place.PromptTokens - decision.ExpectedCachedTokens
@@ -219,39 +224,41 @@
 	for try := 0; try <= maxResumes; try++ {
 		var stage Stage
 		stage, err = d.stream(ctx, job, &endpoint, p, sink, resumable)
-		p.begun = p.begun || began(stage, err)
-		d.note(&endpoint, stage, err)
+		p.mayHaveRun = p.mayHaveRun || mayHaveBegun(stage, err)
+		d.recordOutcome(&endpoint, stage, err)
 		if err == nil || ctx.Err() != nil || stage < StageAccepted || isCallerError(err) {
 			break
 		}
 		resumable = true
 		job.Span.Step("resume", err.Error())
-		d.pause(ctx, try+1)
+		d.waitBeforeRetry(ctx, try+1)
 	}
 	if err != nil && ctx.Err() == nil && !isCallerError(err) {
-		// A caller that is gone may come back with its last event id. The
-		// engine keeps the request for its grace time and then drops it.
+		// Not cancelled after a disconnect of the caller, who may reconnect with the last event
+		// ID. The engine drops the request after its own grace period.
 		d.cancel(job, &endpoint)
 	}
 	return err
 }
 
-// note tells membership what an attempt showed.
-func (d *Dispatcher) note(endpoint *scheduling.Endpoint, stage Stage, err error) {
+// recordOutcome updates the pool with the outcome of a stream. Errors on the caller's side do not
+// count against the engine.
+func (d *Dispatcher) recordOutcome(endpoint *scheduling.Endpoint, stage Stage, err error) {
 	var refusal *RefusalError
 	switch {
 	case err == nil:
 		d.config.Pool.RecordSuccess(endpoint.ID)
 	case isCallerError(err) || errors.Is(err, context.Canceled):
 	case errors.As(err, &refusal):
-		d.noteRefusal(endpoint, refusal)
+		d.recordRefusal(endpoint, refusal)
 	default:
 		d.config.Pool.RecordFailure(d.config.Now(), endpoint.ID)
 		d.config.Logger.Debug("attempt failed", "engine", endpoint.ID, "stage", stage.String(), "error", err)
 	}
 }
 
-func (d *Dispatcher) noteRefusal(endpoint *scheduling.Endpoint, refusal *RefusalError) {
+// recordRefusal updates the pool if the engine is draining or has been replaced.
+func (d *Dispatcher) recordRefusal(endpoint *scheduling.Endpoint, refusal *RefusalError) {
 	switch refusal.Kind {
 	case engineapi.KindDraining:
 		d.config.Pool.MarkDraining(endpoint.ID)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -27,12 +27,12 @@
 
 const answerLength = 6
 
-// fakeEngine answers with the words w0 to w5, and breaks as its script says.
+// fakeEngine is an HTTP server whose handler for completions is set by each test.
 type fakeEngine struct {
 	server   *httptest.Server
 	requests atomic.Int64
 	cancels  atomic.Int64
-	// handle is called for each completion.
+	// handle serves a completion. Requests are numbered from 1.
 	handle func(w http.ResponseWriter, r *http.Request, number int64)
 	mu     sync.Mutex
 	bodies []string
@@ -65,8 +65,8 @@
 	return fmt.Sprintf("id: %d\ndata: %s\n\n", index, data)
 }
 
-// wholeAnswer is the bytes of a stream from an index on.
-func wholeAnswer(r *http.Request) string {
+// responseStream returns the complete stream for a request, from its resume index.
+func responseStream(r *http.Request) string {
 	from, _ := strconv.Atoi(r.Header.Get(engineapi.HeaderResumeIndex))
 	var out strings.Builder
 	for i := from; i <= answerLength; i++ {
@@ -75,13 +75,13 @@
 	return out.String() + "data: " + engineapi.Done + "\n\n"
 }
 
-func answer(w http.ResponseWriter, r *http.Request, _ int64) {
-	_, _ = io.WriteString(w, wholeAnswer(r))
+func serveAnswer(w http.ResponseWriter, r *http.Request, _ int64) {
+	_, _ = io.WriteString(w, responseStream(r))
 }
 
-// cutAfter sends the first n bytes of the answer and resets the connection.
-func cutAfter(w http.ResponseWriter, r *http.Request, n int) {
-	text := wholeAnswer(r)
+// resetAfter sends the first n bytes of the stream and resets the connection.
+func resetAfter(w http.ResponseWriter, r *http.Request, n int) {
+	text := responseStream(r)
 	w.WriteHeader(http.StatusOK)
 	_, _ = io.WriteString(w, text[:min(n, len(text))])
 	_ = http.NewResponseController(w).Flush()
@@ -95,14 +95,14 @@
 	_ = connection.Close()
 }
 
-type collected struct {
+type recordingSink struct {
 	words  []string
 	tokens []Token
 	ended  bool
 	fail   error
 }
 
-func (c *collected) Chunk(token Token, _ string, chunk *engineapi.Chunk) error {
+func (c *recordingSink) Chunk(token Token, _ string, chunk *engineapi.Chunk) error {
 	if c.fail != nil {
 		return c.fail
 	}
@@ -115,14 +115,13 @@
 	return nil
 }
 
-func (c *collected) assertWhole(t *testing.T) {
+func (c *recordingSink) assertComplete(t *testing.T) {
 	t.Helper()
 	assert.DeepEqual(t, c.words, []string{"w0", "w1", "w2", "w3", "w4", "w5"})
 	assert.Assert(t, c.ended)
 }
 
-// newDispatcher returns a dispatcher over the engines, in the order of their
-// list, and the decision for the first.
+// newDispatcher returns a dispatcher for the engines and a decision for the first of them.
 func newDispatcher(engines ...*fakeEngine) (*Dispatcher, scheduling.Decision) {
 	started := time.Now()
 	pool := membership.NewPool(func(string) float64 { return 1000 })
@@ -143,138 +142,138 @@
 		Place: scheduling.Request{Model: "m", Tenant: "t"}, Continuation: true}
 }
 
-func TestAnswerSurvivesAResetAtEveryByte(t *testing.T) {
+func TestRunCompletesAnswerAfterResetAtAnyByte(t *testing.T) {
 	sample := httptest.NewRequest(http.MethodPost, "/", nil)
 	sample.Header.Set(engineapi.HeaderRequestID, "request")
-	// The reset may overtake the headers; then the other engine answers.
-	other := newFakeEngine(t, answer)
-	for n := range len(wholeAnswer(sample)) {
+	// The reset may arrive before the headers; then the request runs on the other engine.
+	other := newFakeEngine(t, serveAnswer)
+	for n := range len(responseStream(sample)) {
 		engine := newFakeEngine(t, func(w http.ResponseWriter, r *http.Request, number int64) {
 			if number == 1 {
-				cutAfter(w, r, n)
+				resetAfter(w, r, n)
 				return
 			}
-			answer(w, r, number)
+			serveAnswer(w, r, number)
 		})
 		d, first := newDispatcher(engine, other)
-		sink := &collected{}
+		sink := &recordingSink{}
 		assert.NilError(t, d.Run(context.Background(), newJob(), first, sink), "cut after byte %d", n)
-		sink.assertWhole(t)
+		sink.assertComplete(t)
 		engine.server.Close()
 	}
 }
 
-func TestAnotherEngineContinuesAfterALoss(t *testing.T) {
+func TestRunContinuesOnAnotherEngineWhenRequestIsLost(t *testing.T) {
 	lost := newFakeEngine(t, func(w http.ResponseWriter, r *http.Request, number int64) {
 		if number == 1 {
-			cutAfter(w, r, len(eventText("request", 0))*2)
+			resetAfter(w, r, len(eventText("request", 0))*2)
 			return
 		}
 		w.WriteHeader(http.StatusGone)
 		_, _ = io.WriteString(w, `{"error":{"type":"request_not_held"}}`)
 	})
-	other := newFakeEngine(t, answer)
+	other := newFakeEngine(t, serveAnswer)
 	d, first := newDispatcher(lost, other)
-	sink := &collected{}
+	sink := &recordingSink{}
 	assert.NilError(t, d.Run(context.Background(), newJob(), first, sink))
-	sink.assertWhole(t)
+	sink.assertComplete(t)
 	assert.Assert(t, strings.Contains(other.bodies[0], `"continuation":"w0 w1 "`), other.bodies[0])
 }
 
-func TestCutIsExplicitWhenTheModelMayNotContinue(t *testing.T) {
+func TestRunReturnsErrInterruptedWhenContinuationIsNotAllowed(t *testing.T) {
 	lost := newFakeEngine(t, func(w http.ResponseWriter, r *http.Request, number int64) {
 		if number == 1 {
-			cutAfter(w, r, len(eventText("request", 0))*2)
+			resetAfter(w, r, len(eventText("request", 0))*2)
 			return
 		}
 		w.WriteHeader(http.StatusGone)
 	})
-	other := newFakeEngine(t, answer)
+	other := newFakeEngine(t, serveAnswer)
 	d, first := newDispatcher(lost, other)
 	job := newJob()
 	job.Continuation = false
-	err := d.Run(context.Background(), job, first, &collected{})
+	err := d.Run(context.Background(), job, first, &recordingSink{})
 	assert.Assert(t, errors.Is(err, ErrInterrupted), "%v", err)
 	assert.Equal(t, other.requests.Load(), int64(0))
 }
 
-func TestRefusalIsPlacedAgain(t *testing.T) {
+func TestRunRetriesRefusedRequestOnAnotherEngine(t *testing.T) {
 	refusing := newFakeEngine(t, func(w http.ResponseWriter, _ *http.Request, _ int64) {
 		w.WriteHeader(http.StatusConflict)
 		_, _ = io.WriteString(w, `{"error":{"type":"incarnation_mismatch","message":"this is incarnation two"}}`)
 	})
-	other := newFakeEngine(t, answer)
+	other := newFakeEngine(t, serveAnswer)
 	d, first := newDispatcher(refusing, other)
-	sink := &collected{}
+	sink := &recordingSink{}
 	assert.NilError(t, d.Run(context.Background(), newJob(), first, sink))
-	sink.assertWhole(t)
-	// The replaced incarnation is not used again until control tells the new one.
+	sink.assertComplete(t)
+	// The replaced incarnation is not used until control reports the new one.
 	assert.Equal(t, len(d.config.Pool.Snapshot(0).Endpoints), 1)
 }
 
-func TestNotRunIsSaidOnlyWhenNoEngineBegan(t *testing.T) {
+func TestRunReturnsErrNotRunOnlyWhenNoEngineBegan(t *testing.T) {
 	refuse := func(w http.ResponseWriter, _ *http.Request, _ int64) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = io.WriteString(w, `{"error":{"type":"queue_full"}}`)
 	}
 	d, first := newDispatcher(newFakeEngine(t, refuse))
-	err := d.Run(context.Background(), newJob(), first, &collected{})
+	err := d.Run(context.Background(), newJob(), first, &recordingSink{})
 	assert.Assert(t, errors.Is(err, ErrNotRun), "%v", err)
 
-	// An engine that accepts and then dies may have worked on the request.
+	// An engine that accepts the request and then fails may have begun to run it.
 	begin := func(w http.ResponseWriter, r *http.Request, number int64) {
 		if number == 1 {
-			cutAfter(w, r, 0)
+			resetAfter(w, r, 0)
 			return
 		}
 		w.WriteHeader(http.StatusGone)
 		_, _ = io.WriteString(w, `{"error":{"type":"request_not_held"}}`)
 	}
 	d, first = newDispatcher(newFakeEngine(t, begin))
-	err = d.Run(context.Background(), newJob(), first, &collected{})
+	err = d.Run(context.Background(), newJob(), first, &recordingSink{})
 	assert.Assert(t, errors.Is(err, ErrInterrupted), "%v", err)
 	assert.Assert(t, !errors.Is(err, ErrNotRun))
 }
 
-func TestForeignAndLateEventsNeverReachTheCaller(t *testing.T) {
+func TestRunDropsForeignDuplicateAndOutOfOrderEvents(t *testing.T) {
 	engine := newFakeEngine(t, func(w http.ResponseWriter, r *http.Request, number int64) {
 		switch number {
 		case 1:
 			_, _ = io.WriteString(w, eventText("request", 0)+eventText("another", 1))
-		case 2: // doubled and out of order
+		case 2: // a duplicate and a skipped index
 			_, _ = io.WriteString(w, eventText("request", 0)+eventText("request", 1)+eventText("request", 1)+eventText("request", 3))
 		default:
-			answer(w, r, number)
+			serveAnswer(w, r, number)
 		}
 	})
 	d, first := newDispatcher(engine)
-	sink := &collected{}
+	sink := &recordingSink{}
 	assert.NilError(t, d.Run(context.Background(), newJob(), first, sink))
-	sink.assertWhole(t)
+	sink.assertComplete(t)
 }
 
-func TestCallerErrorEndsTheJob(t *testing.T) {
-	engine := newFakeEngine(t, answer)
-	d, first := newDispatcher(engine, newFakeEngine(t, answer))
-	err := d.Run(context.Background(), newJob(), first, &collected{fail: errors.New("gone")})
+func TestRunDoesNotRetryWhenSinkFails(t *testing.T) {
+	engine := newFakeEngine(t, serveAnswer)
+	d, first := newDispatcher(engine, newFakeEngine(t, serveAnswer))
+	err := d.Run(context.Background(), newJob(), first, &recordingSink{fail: errors.New("gone")})
 	assert.ErrorContains(t, err, "gone")
 	assert.Equal(t, engine.requests.Load(), int64(1))
 }
 
-func TestResumeGoesOnWhereTheTokenSays(t *testing.T) {
+func TestResumeContinuesAtTokenIndex(t *testing.T) {
 	engine := newFakeEngine(t, func(w http.ResponseWriter, r *http.Request, number int64) {
 		assert.Check(t, r.Header.Get(engineapi.HeaderResumeOnly) == "true")
-		answer(w, r, number)
+		serveAnswer(w, r, number)
 	})
 	d, _ := newDispatcher(engine)
 	job := newJob()
 	job.Resume = &Token{Engine: "engine-0", Incarnation: "one", Request: "request", Next: 4}
-	sink := &collected{}
+	sink := &recordingSink{}
 	assert.NilError(t, d.Resume(context.Background(), job, sink))
 	assert.DeepEqual(t, sink.words, []string{"w4", "w5"})
 }
 
-func TestResumeOfALostAnswerIsExplicit(t *testing.T) {
+func TestResumeReturnsErrNotHeldWhenRequestIsLost(t *testing.T) {
 	engine := newFakeEngine(t, func(w http.ResponseWriter, _ *http.Request, _ int64) {
 		w.WriteHeader(http.StatusGone)
 		_, _ = io.WriteString(w, `{"error":{"type":"request_not_held"}}`)
@@ -282,7 +281,7 @@
 	d, _ := newDispatcher(engine)
 	job := newJob()
 	job.Resume = &Token{Engine: "engine-0", Incarnation: "one", Request: "request", Next: 4}
-	assert.ErrorIs(t, d.Resume(context.Background(), job, &collected{}), ErrNotHeld)
+	assert.ErrorIs(t, d.Resume(context.Background(), job, &recordingSink{}), ErrNotHeld)
 }
 
 func FuzzParseToken(f *testing.F) {
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -11,32 +11,33 @@
 	"quinceridge.example/quinceridge/internal/engineapi"
 )
 
-// Stage is how far an attempt came.
+// Stage is the stage that an attempt has reached.
 type Stage int
 
 // The stages of an attempt.
 const (
-	// StageConnecting has sent nothing.
+	// StageConnecting means that nothing has been sent.
 	StageConnecting Stage = iota
-	// StageSent may have sent a first byte.
+	// StageSent means that a part of the request may have been sent.
 	StageSent
-	// StageRefused was answered by a refusal: it was not run.
+	// StageRefused means that the engine has refused the request without running it.
 	StageRefused
-	// StageAccepted was accepted by the engine.
+	// StageAccepted means that the engine has accepted the request.
 	StageAccepted
-	// StageStreaming has received a token.
+	// StageStreaming means that an event has been received.
 	StageStreaming
-	// StageEnded has received the proper end.
+	// StageEnded means that the end marker of the stream has been received.
 	StageEnded
 )
 
-// String returns the stage's name in logs.
+// String returns the stage's name for logs.
 func (s Stage) String() string {
 	return [...]string{"connecting", "sent", "refused", "accepted", "streaming", "ended"}[s]
 }
 
-// RefusalError is an engine's refusal. The request was not run there.
+// RefusalError is a refusal by an engine, which has not run the request.
 type RefusalError struct {
+	// Status is the HTTP status.
 	Status  int
 	Kind    engineapi.ErrorKind
 	Message string
@@ -47,11 +48,10 @@
 	return fmt.Sprintf("engine refused with %d %s: %s", e.Status, e.Kind, e.Message)
 }
 
-// callerError is a failure to give the answer to the caller. No other attempt
-// can help.
+// callerError is a failure to write the answer to the caller. It is not retried.
 type callerError struct{ cause error }
 
-func (e *callerError) Error() string { return "give answer to caller: " + e.cause.Error() }
+func (e *callerError) Error() string { return "write answer to caller: " + e.cause.Error() }
 
 func (e *callerError) Unwrap() error { return e.cause }
 
@@ -60,27 +60,28 @@
 	return errors.As(err, &caller)
 }
 
-// ErrNotSent is the mark of attempts that ended before a byte was sent.
+// ErrNotSent marks errors of attempts that failed before any byte was sent.
 var ErrNotSent = errors.New("nothing was sent")
 
-// began tells whether the engine may have begun when an attempt ended at a
-// stage. A refused resume says nothing of what went before it.
-func began(stage Stage, err error) bool {
+// mayHaveBegun reports whether the engine may have begun to run the request, if the attempt ended
+// at the given stage. It does not account for earlier attempts, which a refused resume follows.
+func mayHaveBegun(stage Stage, err error) bool {
 	return stage >= StageAccepted || (stage == StageSent && !notRun(err))
 }
 
-// notRun tells whether the engine surely did not begin.
+// notRun reports whether the engine has certainly not begun to run the request.
 func notRun(err error) bool {
 	var refusal *RefusalError
 	return errors.As(err, &refusal) || errors.Is(err, ErrNotSent)
 }
 
-// pause waits before a retry, with jitter, longer each time.
-func (d *Dispatcher) pause(ctx context.Context, attempt int) {
-	mean := d.config.Backoff << min(attempt-1, 4)
-	wait := time.Duration(rand.Int64N(int64(2 * mean)))
+// waitBeforeRetry waits for a random delay whose mean doubles with each attempt, up to 16 times
+// Backoff, or until the context is done.
+func (d *Dispatcher) waitBeforeRetry(ctx context.Context, attempt int) {
+	meanDelay := d.config.Backoff << min(attempt-1, 4)
+	delay := time.Duration(rand.Int64N(int64(2 * meanDelay)))
 	select {
 	case <-ctx.Done():
-	case <-time.After(wait):
+	case <-time.After(delay):
 	}
 }
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -18,12 +18,12 @@
 	"quinceridge.example/quinceridge/internal/scheduling"
 )
 
-// Sizes of the connection pool to engines.
+// Limits of the connection pool and sizes in bytes.
 const (
-	idlePerEngine = 128
-	idleTotal     = 8192
-	maxEvent      = 1 << 20
-	maxErrorBody  = 64 << 10
+	maxIdlePerEngine = 128
+	maxIdleTotal     = 8192
+	maxEventSize     = 1 << 20
+	maxErrorBody     = 64 << 10
 )
 
 func newHTTPClient() *http.Client {
@@ -36,20 +36,20 @@
 			}
 			return connection, nil
 		},
-		MaxIdleConns:          idleTotal,
-		MaxIdleConnsPerHost:   idlePerEngine,
+		MaxIdleConns:          maxIdleTotal,
+		MaxIdleConnsPerHost:   maxIdlePerEngine,
 		IdleConnTimeout:       30 * time.Second,
 		ResponseHeaderTimeout: headerTimeout,
 		DisableCompression:    true,
 	}}
 }
 
-// stream sends the job to an engine, or resumes it there, and passes the
-// answer on.
+// stream sends the job to an engine, or resumes it there, and forwards the answer to the sink. It
+// returns the stage that it has reached.
 func (d *Dispatcher) stream(ctx context.Context, job *Job, endpoint *scheduling.Endpoint, p *progress, sink Sink, resume bool) (Stage, error) {
 	address := d.config.Pool.Address(endpoint.ID)
 	if address == "" {
-		return StageConnecting, errors.Mark(errors.New("the engine is not listed any more"), ErrNotSent)
+		return StageConnecting, errors.Mark(errors.New("engine is no longer in the pool"), ErrNotSent)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -63,21 +63,22 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return StageRefused, refusal(response)
+		return StageRefused, readRefusal(response)
 	}
 	stage := StageAccepted
-	body := watchIdle(response.Body, func() { cancel(errIdle) })
+	body := newIdleReader(response.Body, func() { cancel(errIdleTimeout) })
 	defer body.stop()
 	err = d.events(job, endpoint, body, p, sink, &stage)
-	if err != nil && errors.Is(context.Cause(ctx), errIdle) {
-		err = errIdle
+	if err != nil && errors.Is(context.Cause(ctx), errIdleTimeout) {
+		err = errIdleTimeout
 	}
 	return stage, err
 }
 
-var errIdle = errors.New("the engine was silent for too long")
+var errIdleTimeout = errors.New("no data from the engine within the idle timeout")
 
-func refusal(response *http.Response) error {
+// readRefusal returns the refusal in a response as a RefusalError.
+func readRefusal(response *http.Response) error {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBody))
 	if err != nil {
 		return errors.Wrap(err, "read refusal")
@@ -86,8 +87,10 @@
 	return &RefusalError{Status: response.StatusCode, Kind: detail.Type, Message: detail.Message}
 }
 
+// request returns the HTTP request for the job. If resume is set, the engine refuses it unless it
+// holds the job already.
 func (d *Dispatcher) request(ctx context.Context, job *Job, endpoint *scheduling.Endpoint, address string, p *progress, resume bool) (*http.Request, error) {
-	body, err := bodyOf(job, p)
+	body, err := requestBody(job, p)
 	if err != nil {
 		return nil, err
 	}
@@ -95,8 +98,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "build request")
 	}
-	// Without GetBody the transport never sends a request a second time by
-	// itself.
+	// Without GetBody the transport cannot retry the request by itself.
 	request.GetBody = nil
 	header := request.Header
 	header.Set("Content-Type", "application/json")
@@ -115,12 +117,12 @@
 	return request, nil
 }
 
-// bodyOf returns the body to send: the caller's, always streamed, with the text
-// that the caller already has.
-func bodyOf(job *Job, p *progress) ([]byte, error) {
+// requestBody returns the caller's body with streaming enabled and, if an answer is continued, the
+// text that the caller has received.
+func requestBody(job *Job, p *progress) ([]byte, error) {
 	job.Body["stream"] = json.RawMessage("true")
 	delete(job.Body, "continuation")
-	if p.next > 0 && p.known {
+	if p.next > 0 && p.textComplete {
 		text, err := json.Marshal(p.text.String())
 		if err != nil {
 			return nil, errors.Wrap(err, "encode continuation")
@@ -131,10 +133,10 @@
 	return body, errors.Wrap(err, "encode body")
 }
 
-// events passes the events of a stream on, each exactly once and in order.
+// events forwards the events of a stream to the sink and updates the stage.
 func (d *Dispatcher) events(job *Job, endpoint *scheduling.Endpoint, body io.Reader, p *progress, sink Sink, stage *Stage) error {
 	var failure error
-	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEvent}) {
+	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventSize}) {
 		if err != nil {
 			return errors.Wrap(err, "read stream")
 		}
@@ -151,21 +153,22 @@
 	case failure != nil:
 		return failure
 	case *stage != StageEnded:
-		return errors.New("the stream ended without its end mark")
+		return errors.New("stream ended without the end marker")
 	case !p.done:
-		return errors.New("the stream ended without its final event")
+		return errors.New("stream ended without the final event")
 	}
 	return nil
 }
 
-// event passes one event on.
+// event forwards one event to the sink. It drops events that the caller has received already and
+// returns an error for an event of another request or with a skipped index.
 func (d *Dispatcher) event(job *Job, endpoint *scheduling.Endpoint, event sse.Event, p *progress, sink Sink) error {
 	var chunk engineapi.Chunk
 	if err := json.Unmarshal([]byte(event.Data), &chunk); err != nil {
 		return errors.Wrap(err, "decode event")
 	}
 	if chunk.ID != job.ID || len(chunk.Choices) != 1 {
-		return errors.Newf("event of request %q in the stream of %q", chunk.ID, job.ID)
+		return errors.Newf("received an event of request %q in the stream of request %q", chunk.ID, job.ID)
 	}
 	final := chunk.Choices[0].FinishReason != nil
 	index, err := strconv.Atoi(event.LastEventID)
@@ -176,7 +179,7 @@
 	case index < p.next || p.done:
 		return nil
 	case index > p.next:
-		return errors.Newf("event %d came where %d was due", index, p.next)
+		return errors.Newf("received event %d, expected %d", index, p.next)
 	}
 	token := Token{Engine: endpoint.ID, Incarnation: endpoint.Incarnation, Request: job.ID, Next: index + 1}
 	if final {
@@ -187,26 +190,28 @@
 	}
 	if final {
 		p.done = true
-		d.noteUsage(job, endpoint, &chunk)
+		d.recordUsage(job, endpoint, &chunk)
 		return nil
 	}
 	p.next = index + 1
-	if p.known {
+	if p.textComplete {
 		p.text.WriteString(chunk.Choices[0].Content())
 	}
 	return nil
 }
 
-func (d *Dispatcher) noteUsage(job *Job, endpoint *scheduling.Endpoint, chunk *engineapi.Chunk) {
+// recordUsage reports the cached tokens of a complete answer to the placement policy.
+func (d *Dispatcher) recordUsage(job *Job, endpoint *scheduling.Endpoint, chunk *engineapi.Chunk) {
 	if chunk.Usage != nil {
-		d.answered(job, endpoint.ID, chunk.Usage.Details.CachedTokens)
+		d.observeResponse(job, endpoint.ID, chunk.Usage.Details.CachedTokens)
 	}
 }
 
-// cancelTimeout bounds the call that tells an engine to forget a request.
+// cancelTimeout is the timeout for cancelling a request on an engine.
 const cancelTimeout = time.Second
 
-// cancel tells the engine to stop working on a request. It does not wait.
+// cancel requests in the background that the engine cancel the job. Errors are ignored, since the
+// engine also drops the job after its grace period.
 func (d *Dispatcher) cancel(job *Job, endpoint *scheduling.Endpoint) {
 	address := d.config.Pool.Address(endpoint.ID)
 	if address == "" {
@@ -229,23 +234,23 @@
 	}()
 }
 
-// idleReader ends a stream that is silent for too long.
+// idleReader calls a function if a read waits for data longer than idleTimeout.
 type idleReader struct {
-	inner io.Reader
+	body  io.Reader
 	timer *time.Timer
 }
 
-func watchIdle(inner io.Reader, expire func()) *idleReader {
-	r := &idleReader{inner: inner}
+func newIdleReader(body io.Reader, expire func()) *idleReader {
+	r := &idleReader{body: body}
 	r.timer = time.AfterFunc(idleTimeout, expire)
 	return r
 }
 
-// Read implements io.Reader. The timer runs only while data is awaited, so
-// that a slow caller does not count against the engine.
+// Read implements io.Reader. The timer runs only during a read, so that a slow caller does not
+// cause a timeout.
 func (r *idleReader) Read(buffer []byte) (int, error) {
 	r.timer.Reset(idleTimeout)
-	n, err := r.inner.Read(buffer)
+	n, err := r.body.Read(buffer)
 	r.timer.Stop()
 	return n, err
 }
--- a/internal/dispatch/token.go
+++ b/internal/dispatch/token.go
@@ -7,24 +7,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Token says where an answer stands. Callers get it as the id of each event
-// and bring the last one back as Last-Event-ID. It is opaque to them and gives
-// no rights: the engine checks the tenant.
+// Token identifies a position in an answer. Callers receive one as the ID of each event and send the
+// last one as Last-Event-ID to resume. It is opaque to them and grants no access, since the engine
+// checks the tenant.
 type Token struct {
+	// Engine is the ID of the engine that runs the request.
 	Engine      string `json:"e"`
 	Incarnation string `json:"i"`
 	Request     string `json:"r"`
-	// Next is the index of the next token of the answer.
+	// Next is the index of the next event of the answer.
 	Next int `json:"n"`
 }
 
-// maxTokenLength bounds what is decoded.
+// maxTokenLength is the maximum length of an encoded token in bytes.
 const maxTokenLength = 1024
 
-// ErrInvalidToken is returned for an event ID that no router made.
+// ErrInvalidToken is returned for text that is not an encoded token.
 var ErrInvalidToken = errors.New("Last-Event-ID is not an id of this service")
 
-// String returns the token's text form.
+// String returns the encoded token.
 func (t Token) String() string {
 	text, err := json.Marshal(t)
 	if err != nil {
@@ -33,7 +34,7 @@
 	return base64.RawURLEncoding.EncodeToString(text)
 }
 
-// ParseToken reads a token's text form.
+// ParseToken decodes a token. It returns ErrInvalidToken if text is not valid.
 func ParseToken(text string) (Token, error) {
 	var t Token
 	if len(text) > maxTokenLength {
