--- a/internal/router/handlers.go
+++ b/internal/router/handlers.go
@@ -11,21 +11,22 @@
 	"quinceridge.example/quinceridge/internal/trace"
 )
 
-// handle serves calls of other routers and of operators.
+// handle serves requests from other routers and from operators.
 func (r *Router) handle(_ context.Context, kind string, body json.RawMessage) (any, error) {
 	switch kind {
 	case controlapi.KindHold:
-		return peer.Decoded(body, r.rollout.handleHold)
+		return peer.Decoded(body, r.rollout.handlePeerLease)
 	case controlapi.KindTrace:
 		return peer.Decoded(body, r.handleTrace)
 	}
 	return nil, errors.Wrap(peer.ErrUnknownKind, kind)
 }
 
+// handleTrace returns the recorded trace of a request.
 func (r *Router) handleTrace(request controlapi.TraceRequest) (trace.Trace, error) {
 	found, ok := r.traces.Find(request.RequestID)
 	if !ok {
-		return found, errors.Newf("no trace of request %s here", request.RequestID)
+		return found, errors.Newf("no trace of request %s on this router", request.RequestID)
 	}
 	return found, nil
 }
--- a/internal/router/hollow.go
+++ b/internal/router/hollow.go
@@ -10,9 +10,9 @@
 	"quinceridge.example/quinceridge/internal/peer"
 )
 
-// StartControllers starts only what talks to control and to other routers, not
-// the callers' side. Hollow fleets run hundreds of such routers in a process.
-// Stop ends it.
+// StartControllers starts the router without its HTTP server: it communicates with control and
+// with other routers, but serves no callers. Many such routers can run in one process.
+// StopControllers stops it.
 func (r *Router) StartControllers() error {
 	listener, err := net.Listen("tcp", r.settings.PeerListen)
 	if err != nil {
@@ -22,10 +22,10 @@
 	return nil
 }
 
-// StopControllers ends what StartControllers began.
-func (r *Router) StopControllers() { r.end() }
+// StopControllers stops a router that was started by StartControllers.
+func (r *Router) StopControllers() { r.shutdown() }
 
-// InForce returns the stamp of the bundle that the router serves by.
+// InForce returns the version and digest of the bundle in force, or the zero value if there is none.
 func (r *Router) InForce() controlapi.Stamp {
 	if config := r.board.Config.Load(); config != nil {
 		return config.Stamp
@@ -33,18 +33,19 @@
 	return controlapi.Stamp{}
 }
 
-// Serving tells whether the router may take new work.
+// Serving reports whether the router may accept new requests.
 func (r *Router) Serving() bool {
-	authority := r.board.Authority.Load()
-	return authority != nil && authority.Mode != "none"
+	leaseState := r.board.Authority.Load()
+	return leaseState != nil && leaseState.Mode != "none"
 }
 
-// Traffic returns the bytes received from and sent to control and peers.
+// Traffic returns the number of bytes received from and sent to control and other routers.
 func (r *Router) Traffic() (in, out uint64) {
 	return r.counters.BytesIn.Load(), r.counters.BytesOut.Load()
 }
 
-// startControllers starts all but the callers' side.
+// startControllers starts the peer server, which takes over the listener, and the controllers. It
+// returns their context, which shutdown cancels.
 func (r *Router) startControllers(listener net.Listener) context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -19,56 +19,58 @@
 )
 
 const (
-	// machinesName is the file that keeps the last list of machines. It is a
-	// hint for the next start and may be stale.
-	machinesName = "machines.json"
-	// viewInterval is the time between two questions for machines and load. In
-	// a large fleet it is largeInterval, to stay within the budget of bytes.
-	viewInterval  = 250 * time.Millisecond
-	largeInterval = 500 * time.Millisecond
-	largeFleet    = 100
-	// machinesSaved is the least time between two writes of the file.
-	machinesSaved = 5 * time.Second
+	// machinesFile stores the last list of machines, for use after a restart until a newer one is
+	// received.
+	machinesFile = "machines.json"
+	// pollInterval is the interval of requests for the list of machines and their load. With more
+	// than largeFleetSize machines it is largeFleetPollInterval, to limit the traffic.
+	pollInterval           = 250 * time.Millisecond
+	largeFleetPollInterval = 500 * time.Millisecond
+	largeFleetSize         = 100
+	// saveInterval is the minimum interval between two writes of machinesFile.
+	saveInterval = 5 * time.Second
 )
 
-// membershipController keeps the pool and the board's Machines up to date.
+// membershipController polls control for views and updates the pool, the directory and the
+// board's Machines.
 type membershipController struct {
-	logger  *slog.Logger
-	control *controlclient.Client
-	clock   processClock
-	pool    *membership.Pool
-	// directory is fed with the chain heads that engines hold.
+	logger    *slog.Logger
+	control   *controlclient.Client
+	clock     processClock
+	pool      *membership.Pool
 	directory *scheduling.Directory
-	// lastChange numbers the last change of heads that was taken.
+	// lastChange is the number of the last change of heads that was applied.
 	lastChange uint64
 	writer     *board.Writer[board.Machines]
 	file       *storage.File
-	ready      chan struct{}
-	once       sync.Once
+	// ready is closed by readyOnce after the first successful poll with a list of machines.
+	ready     chan struct{}
+	readyOnce sync.Once
 
 	current board.Machines
-	saved   time.Duration
+	savedAt time.Duration
 	unsaved bool
 }
 
+// newMembership returns a controller that starts with the stored list of machines, if any.
 func newMembership(r *Router, pool *membership.Pool, directory *scheduling.Directory, clock processClock) (*membershipController, error) {
 	m := &membershipController{logger: telemetry.Part(r.logger, "membership"), control: r.control, clock: clock,
-		pool: pool, directory: directory, ready: make(chan struct{}), saved: -machinesSaved}
+		pool: pool, directory: directory, ready: make(chan struct{}), savedAt: -saveInterval}
 	var err error
 	if m.writer, err = r.board.Machines.Claim("membership"); err != nil {
 		return nil, err
 	}
-	if m.file, err = storage.OpenFile(vfs.Default, r.settings.DataDirectory, machinesName); err != nil {
+	if m.file, err = storage.OpenFile(vfs.Default, r.settings.DataDirectory, machinesFile); err != nil {
 		return nil, err
 	}
-	var kept board.Machines
-	if json.Unmarshal(m.file.Content(), &kept) == nil && len(kept.Machines) > 0 {
-		m.take(kept)
+	var stored board.Machines
+	if json.Unmarshal(m.file.Content(), &stored) == nil && len(stored.Machines) > 0 {
+		m.setMachines(stored)
 	}
 	return m, nil
 }
 
-// run asks for views until the context ends.
+// run polls control until the context is done.
 func (m *membershipController) run(ctx context.Context) {
 	for {
 		started := m.clock.now()
@@ -82,20 +84,21 @@
 }
 
 func (m *membershipController) interval() time.Duration {
-	if len(m.current.Machines) > largeFleet {
-		return largeInterval
+	if len(m.current.Machines) > largeFleetSize {
+		return largeFleetPollInterval
 	}
-	return viewInterval
+	return pollInterval
 }
 
+// poll requests a view and applies it.
 func (m *membershipController) poll(ctx context.Context) {
 	reply, err := m.control.View(ctx, controlapi.ViewRequest{Revision: m.current.Revision, Source: m.current.Source, AfterChange: m.lastChange})
 	if err != nil {
-		m.logger.Debug("view failed", "error", err)
+		m.logger.Debug("view request failed", "error", err)
 		return
 	}
 	if reply.Machines != nil {
-		m.take(board.Machines{Revision: reply.Revision, Source: reply.Source, Machines: reply.Machines, Watched: reply.Watched})
+		m.setMachines(board.Machines{Revision: reply.Revision, Source: reply.Source, Machines: reply.Machines, Watched: reply.Watched})
 		m.unsaved = true
 	}
 	reported := m.current.Reported()
@@ -104,15 +107,15 @@
 			m.pool.SetLoad(m.clock.now(), reported[i].ID, row)
 		}
 	}
-	m.takeHeads(&reply)
+	m.applyHeads(&reply)
 	if len(m.current.Machines) > 0 {
-		m.once.Do(func() { close(m.ready) })
+		m.readyOnce.Do(func() { close(m.ready) })
 	}
 	m.save()
 }
 
-// takeHeads brings the directory up to date.
-func (m *membershipController) takeHeads(reply *controlapi.ViewReply) {
+// applyHeads applies the changes of heads in the reply to the directory.
+func (m *membershipController) applyHeads(reply *controlapi.ViewReply) {
 	if reply.WholeHeads {
 		m.directory.Clear()
 	}
@@ -130,15 +133,16 @@
 	m.lastChange = reply.LastChange
 }
 
-func (m *membershipController) take(machines board.Machines) {
+func (m *membershipController) setMachines(machines board.Machines) {
 	m.current = machines
 	m.pool.SetMachines(machines.Machines)
 	m.writer.Store(&machines)
 }
 
+// save writes the list of machines if it has changed, at most once per saveInterval.
 func (m *membershipController) save() {
 	now := m.clock.now()
-	if !m.unsaved || now-m.saved < machinesSaved {
+	if !m.unsaved || now-m.savedAt < saveInterval {
 		return
 	}
 	data, err := json.Marshal(m.current)
@@ -146,7 +150,7 @@
 		err = m.file.Replace(data)
 	}
 	if err != nil {
-		m.logger.Warn("list of machines was not kept", "error", err)
+		m.logger.Warn("cannot store the list of machines", "error", err)
 	}
-	m.saved, m.unsaved = now, false
+	m.savedAt, m.unsaved = now, false
 }
--- a/internal/router/policies.go
+++ b/internal/router/policies.go
@@ -5,12 +5,13 @@
 	"quinceridge.example/quinceridge/internal/scheduling"
 )
 
-// defaultPrefillRate is assumed for engines of a model that the bundle does
-// not name, in tokens a second.
+// defaultPrefillRate is the prefill rate of engines whose model is not in the bundle, in tokens per
+// second.
 const defaultPrefillRate = 5000
 
-// policies holds the placement policy of each model, made anew when a bundle
-// changes the model's settings. The dispatcher's lock guards it.
+// policies holds the placement policy of each model. A policy is replaced by a new one when its
+// parameters change. Its method policy must not be called concurrently; the dispatcher's lock
+// ensures that.
 type policies struct {
 	board     *board.Board
 	directory *scheduling.Directory
@@ -22,13 +23,14 @@
 	return &policies{board: b, directory: directory, configs: map[string]scheduling.Config{}, policies: map[string]scheduling.Policy{}}
 }
 
+// policy returns the policy of a model, for the parameters in force.
 func (p *policies) policy(model string) scheduling.Policy {
-	wanted := p.config(model)
-	if policy, ok := p.policies[model]; ok && p.configs[model] == wanted {
+	current := p.config(model)
+	if policy, ok := p.policies[model]; ok && p.configs[model] == current {
 		return policy
 	}
-	p.configs[model] = wanted
-	policy := scheduling.NewAffinity(wanted)
+	p.configs[model] = current
+	policy := scheduling.NewAffinity(current)
 	if user, ok := policy.(scheduling.DirectoryUser); ok {
 		user.UseDirectory(p.directory)
 	}
@@ -36,9 +38,10 @@
 	return policy
 }
 
+// config returns the parameters of a model's policy: the defaults, overridden by the bundle.
 func (p *policies) config(model string) scheduling.Config {
 	out := scheduling.DefaultConfig()
-	out.Routers = p.routers()
+	out.Routers = p.routerCount()
 	config := p.board.Config.Load()
 	if config == nil {
 		return out
@@ -60,7 +63,7 @@
 	return out
 }
 
-// prefillRate is the prompt tokens a second of an engine with the model.
+// prefillRate returns the prefill rate of an engine with the model, in tokens per second.
 func (p *policies) prefillRate(model string) float64 {
 	if config := p.board.Config.Load(); config != nil {
 		if settings, known := config.Bundle.Models[model]; known {
@@ -70,10 +73,10 @@
 	return defaultPrefillRate
 }
 
-// routers is how many routers share the traffic.
-func (p *policies) routers() int {
-	if authority := p.board.Authority.Load(); authority != nil {
-		return max(authority.Routers, 1)
+// routerCount returns the number of routers that share the traffic, at least 1.
+func (p *policies) routerCount() int {
+	if leaseState := p.board.Authority.Load(); leaseState != nil {
+		return max(leaseState.Routers, 1)
 	}
 	return 1
 }
--- a/internal/router/rollout.go
+++ b/internal/router/rollout.go
@@ -22,37 +22,41 @@
 )
 
 const (
-	// stateName is the file that keeps agent.Durable.
-	stateName = "router.json"
-	// authorityTick is how often the right to take work is looked at.
-	authorityTick = 100 * time.Millisecond
-	// holdTimeout bounds a question to another router.
-	holdTimeout = 400 * time.Millisecond
+	// stateFile stores the agent's durable state.
+	stateFile = "router.json"
+	// leaseCheckInterval is the interval at which the router checks its lease.
+	leaseCheckInterval = 100 * time.Millisecond
+	// peerQueryTimeout is the timeout for queries to other routers.
+	peerQueryTimeout = 400 * time.Millisecond
 )
 
-// rollout is the controller that drives the agent: heartbeats to control,
-// questions to other routers, and the board's Config and Authority.
-//
-// Lock order: rollout.mu only; it is held over a sync of the state file, so
-// that nothing leaves before what it rests on is durable.
+// rollout is the controller that runs the agent. It sends heartbeats to control, queries other
+// routers when control is lost, and publishes the bundle in force and the mode of the router's
+// lease on the board.
 type rollout struct {
-	logger    *slog.Logger
-	file      *storage.File
-	control   *controlclient.Client
-	peers     *peer.Client
-	clock     processClock
-	heartbeat time.Duration
-	config    *board.Writer[board.Config]
-	authority *board.Writer[board.Authority]
+	logger     *slog.Logger
+	file       *storage.File
+	control    *controlclient.Client
+	peers      *peer.Client
+	clock      processClock
+	heartbeat  time.Duration
+	config     *board.Writer[board.Config]
+	leaseState *board.Writer[board.Authority]
+	// ready is closed by readyOnce once the router may accept requests.
 	ready     chan struct{}
 	readyOnce sync.Once
 
+	// mu guards the fields below. It is held while the state file is synced, so that no message is
+	// sent that depends on state that is not durable.
 	mu    sync.Mutex
 	agent *agent.Agent
-	shown controlapi.Stamp
-	mode  agent.Mode
+	// published identifies the bundle that the board holds.
+	published controlapi.Stamp
+	mode      agent.Mode
 }
 
+// newRollout returns a controller that starts from the stored state. It returns storage.ErrCorrupt
+// if the state cannot be decoded.
 func newRollout(r *Router, fs vfs.FS, clock processClock) (*rollout, error) {
 	o := &rollout{logger: telemetry.Part(r.logger, "rollout"), control: r.control, peers: r.peers, clock: clock,
 		heartbeat: r.settings.Heartbeat, ready: make(chan struct{})}
@@ -60,16 +64,16 @@
 	if o.config, err = r.board.Config.Claim("rollout"); err != nil {
 		return nil, err
 	}
-	if o.authority, err = r.board.Authority.Claim("rollout"); err != nil {
+	if o.leaseState, err = r.board.Authority.Claim("rollout"); err != nil {
 		return nil, err
 	}
-	if o.file, err = storage.OpenFile(fs, r.settings.DataDirectory, stateName); err != nil {
+	if o.file, err = storage.OpenFile(fs, r.settings.DataDirectory, stateFile); err != nil {
 		return nil, err
 	}
 	var durable agent.Durable
 	if data := o.file.Content(); len(data) > 0 {
 		if err := json.Unmarshal(data, &durable); err != nil {
-			return nil, errors.Wrapf(storage.ErrCorrupt, "%s: %v", stateName, err)
+			return nil, errors.Wrapf(storage.ErrCorrupt, "%s: %v", stateFile, err)
 		}
 	}
 	self := state.Router{Name: r.settings.Name, Region: r.settings.Region, Zone: r.settings.Zone, Peer: r.settings.PeerListen}
@@ -78,38 +82,38 @@
 	return o, nil
 }
 
-// run sends heartbeats until the context ends.
+// run sends heartbeats and checks the lease until the context is done.
 func (o *rollout) run(ctx context.Context) {
 	heartbeats := time.NewTicker(o.heartbeat)
 	defer heartbeats.Stop()
-	looks := time.NewTicker(authorityTick)
-	defer looks.Stop()
-	o.beat(ctx)
+	leaseChecks := time.NewTicker(leaseCheckInterval)
+	defer leaseChecks.Stop()
+	o.renewLease(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-heartbeats.C:
-			o.beat(ctx)
-		case <-looks.C:
+			o.renewLease(ctx)
+		case <-leaseChecks.C:
 			o.update(func(time.Duration) error { return nil })
 		}
 	}
 }
 
-// update runs a step of the agent, makes its outcome durable and shows it on
-// the board.
+// update runs a step of the agent, stores the resulting state and publishes it on the board.
 func (o *rollout) update(step func(now time.Duration) error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if err := step(o.clock.now()); err != nil {
-		o.logger.Warn("bundle was not taken", "error", err)
+		o.logger.Warn("bundle rejected", "error", err)
 	}
 	o.save()
 	o.publish()
 }
 
-// save makes the agent's state durable. The router cannot go on without it.
+// save stores the agent's state if it has changed. After an error the state remains dirty, and the
+// router accepts no new requests.
 func (o *rollout) save() {
 	if !o.agent.Dirty() {
 		return
@@ -119,57 +123,57 @@
 		err = o.file.Replace(data)
 	}
 	if err != nil {
-		o.logger.Error("state cannot be made durable; no new work is taken", "error", err)
+		o.logger.Error("cannot store state; accepting no new requests", "error", err)
 		return
 	}
 	o.agent.Saved()
 }
 
-// publish shows mode and bundle on the board. While the state is not durable
-// the router takes no work.
+// publish stores the mode and the bundle in force on the board. While the state is not durable, the
+// mode is agent.ModeNone and the bundle stays as it was.
 func (o *rollout) publish() {
 	mode := o.agent.Mode(o.clock.now())
 	if o.agent.Dirty() {
 		mode = agent.ModeNone
 	}
-	if held := o.agent.InForce(); held != nil && held.Stamp != o.shown && !o.agent.Dirty() {
-		b, err := bundle.Parse(held.Canonical)
+	if active := o.agent.InForce(); active != nil && active.Stamp != o.published && !o.agent.Dirty() {
+		b, err := bundle.Parse(active.Canonical)
 		if err != nil {
-			o.logger.Error("bundle cannot be read", "version", held.Stamp.Version, "error", err)
+			o.logger.Error("cannot parse bundle", "version", active.Stamp.Version, "error", err)
 			return
 		}
-		o.config.Store(board.NewConfig(held.Stamp, b))
-		o.shown = held.Stamp
-		o.logger.Info("bundle in force", "version", held.Stamp.Version, "digest", held.Stamp.Digest[:12])
+		o.config.Store(board.NewConfig(active.Stamp, b))
+		o.published = active.Stamp
+		o.logger.Info("bundle in force", "version", active.Stamp.Version, "digest", active.Stamp.Digest[:12])
 	}
 	if mode != o.mode {
 		o.logger.Info("mode changed", "mode", string(mode))
 		o.mode = mode
 	}
-	o.authority.Store(&board.Authority{Mode: mode, Routers: len(o.agent.Durable().Registry.Members)})
+	o.leaseState.Store(&board.Authority{Mode: mode, Routers: len(o.agent.Durable().Registry.Members)})
 	if mode != agent.ModeNone {
 		o.readyOnce.Do(func() { close(o.ready) })
 	}
 }
 
-// beat renews the lease, and asks the other routers when control is lost. A
-// staged bundle is acknowledged at once.
-func (o *rollout) beat(ctx context.Context) {
+// renewLease sends a heartbeat, followed by others if there is something to acknowledge, such as a
+// staged bundle. It queries the other routers if control is lost.
+func (o *rollout) renewLease(ctx context.Context) {
 	for range 3 {
-		if !o.renew(ctx) {
+		if !o.sendHeartbeat(ctx) {
 			break
 		}
 	}
 	o.mu.Lock()
-	wants := o.agent.WantsHold(o.clock.now())
+	shouldQuery := o.agent.WantsHold(o.clock.now())
 	o.mu.Unlock()
-	if wants {
-		o.askPeers(ctx)
+	if shouldQuery {
+		o.queryPeers(ctx)
 	}
 }
 
-// renew sends one heartbeat. It tells whether another one has news to bring.
-func (o *rollout) renew(ctx context.Context) (again bool) {
+// sendHeartbeat sends one heartbeat and reports whether the reply has to be acknowledged by another.
+func (o *rollout) sendHeartbeat(ctx context.Context) (again bool) {
 	o.mu.Lock()
 	if o.agent.Dirty() {
 		o.mu.Unlock()
@@ -188,8 +192,8 @@
 	return len(reply.Offers) > 0 || reply.Registry != nil
 }
 
-// askPeers asks the other routers whether they have lost control too.
-func (o *rollout) askPeers(ctx context.Context) {
+// queryPeers asks the other routers whether they have lost control too, and applies their replies.
+func (o *rollout) queryPeers(ctx context.Context) {
 	o.mu.Lock()
 	sent := o.clock.now()
 	peers := o.agent.Peers(sent)
@@ -198,7 +202,7 @@
 		requests[i] = o.agent.HoldRequest(router.Name)
 	}
 	o.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, holdTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
 	defer cancel()
 	var group sync.WaitGroup
 	for i, router := range peers {
@@ -213,8 +217,8 @@
 	group.Wait()
 }
 
-// handleHold answers another router.
-func (o *rollout) handleHold(request controlapi.HoldRequest) (controlapi.HoldReply, error) {
+// handlePeerLease replies to the query of another router that has lost control.
+func (o *rollout) handlePeerLease(request controlapi.HoldRequest) (controlapi.HoldReply, error) {
 	var reply controlapi.HoldReply
 	o.update(func(now time.Duration) error {
 		reply = o.agent.HandleHoldRequest(now, request)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,5 +1,5 @@
-// Package router assembles a router process: it provisions the parts, starts
-// the controllers on the board, and stops without cutting a request.
+// Package router assembles a router process. It creates the components, starts the controllers, and
+// drains requests before it stops.
 package router
 
 import (
@@ -28,9 +28,9 @@
 	"quinceridge.example/quinceridge/internal/trace"
 )
 
-// firstLease bounds how long Start waits for the right to take work before it
-// listens all the same, not ready.
-const firstLease = 3 * time.Second
+// startTimeout is the time for which Start waits for a lease and a list of machines. After it, the
+// router listens without being ready.
+const startTimeout = 3 * time.Second
 
 // Router is one router process.
 type Router struct {
@@ -52,8 +52,8 @@
 	group    sync.WaitGroup
 }
 
-// New provisions a router: it reads the bundle in force and the last list of
-// machines from the data folder, so that it knows both before it listens.
+// New returns a router that is not yet started. It loads the last bundle and list of machines from
+// the data directory.
 func New(config settings.Router, logger *slog.Logger) (*Router, error) {
 	r := &Router{settings: config, logger: telemetry.Part(logger, "router"), board: &board.Board{}, counters: &peer.Counters{},
 		traces: trace.NewRecorder()}
@@ -84,8 +84,8 @@
 	return r, nil
 }
 
-// Start begins to serve. It gets a lease and a view before it listens, if
-// control answers soon, so that the first caller is served at once.
+// Start starts the router. Before it listens for callers, it waits up to startTimeout for a lease and
+// a list of machines, so that it can serve the first requests.
 func (r *Router) Start() error {
 	peerListener, err := net.Listen("tcp", r.settings.PeerListen)
 	if err != nil {
@@ -94,7 +94,7 @@
 	r.waitReady(r.startControllers(peerListener))
 	listener, err := net.Listen("tcp", r.settings.Listen)
 	if err != nil {
-		r.end()
+		r.shutdown()
 		return errors.Wrap(err, "listen for callers")
 	}
 	go r.serve(listener)
@@ -102,14 +102,16 @@
 	return nil
 }
 
+// serve serves callers until the HTTP server is shut down.
 func (r *Router) serve(listener net.Listener) {
 	if err := r.gateway.Server().Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		r.logger.Error("callers' listener failed", "error", err)
+		r.logger.Error("HTTP server failed", "error", err)
 	}
 }
 
+// waitReady waits until both controllers are ready, up to startTimeout.
 func (r *Router) waitReady(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, firstLease)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for _, ready := range []<-chan struct{}{r.rollout.ready, r.membership.ready} {
 		select {
@@ -120,8 +122,8 @@
 	}
 }
 
-// Stop lets requests in progress finish, within the drain limit, and ends. New
-// requests on kept connections are refused as not run meanwhile.
+// Stop drains the router and stops it. Requests in progress may finish within the drain limit, after
+// which their connections are closed. New requests on open connections are refused as not run.
 func (r *Router) Stop(ctx context.Context) error {
 	draining := true
 	r.draining.Store(&draining)
@@ -129,21 +131,23 @@
 	defer cancel()
 	err := r.gateway.Server().Shutdown(ctx)
 	if err != nil {
-		r.logger.Warn("drain limit reached; open requests are cut", "limit", r.settings.DrainLimit)
+		r.logger.Warn("drain limit reached; closing connections with requests in progress", "limit", r.settings.DrainLimit)
 		_ = r.gateway.Server().Close()
 	}
-	r.end()
+	r.shutdown()
 	r.logger.Info("stopped")
 	return errors.Wrap(err, "drain")
 }
 
-func (r *Router) end() {
+// shutdown stops the controllers and the peer server, and waits for the controllers.
+func (r *Router) shutdown() {
 	r.cancel()
 	r.listener.Close()
 	r.group.Wait()
 	r.peers.Close()
 }
 
+// registerMetrics registers metrics of the traffic with control and peers, and of the bundle.
 func (r *Router) registerMetrics(registry *prometheus.Registry) {
 	counter := func(name, help string, value func() uint64) {
 		registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: "quinceridge", Subsystem: "peer",
@@ -160,7 +164,7 @@
 	}))
 }
 
-// processClock reads the time since the process started.
+// processClock measures the time since its creation at the start of the process.
 type processClock struct{ started time.Duration }
 
 func newClock() processClock { return processClock{started: clock.Now()} }
