--- a/internal/standin/appworker/appworker.go
+++ b/internal/standin/appworker/appworker.go
@@ -1,5 +1,5 @@
-// Package appworker is the stand-in for application workers. It records every
-// run, so that a second run of a charge is caught.
+// Package appworker is the stand-in for application workers. It records every run in a journal, so
+// that duplicate runs of a call can be detected.
 package appworker
 
 import (
@@ -13,10 +13,10 @@
 	"quinceridge.example/quinceridge/internal/standin"
 )
 
-// JournalName is the file of runs in the data folder.
+// JournalName is the file name of the journal of runs.
 const JournalName = "runs.jsonl"
 
-// Run is one line of the journal.
+// Run is one line of the journal. At is the wall-clock time in microseconds.
 type Run struct {
 	At      int64  `json:"at"`
 	Worker  string `json:"worker"`
@@ -27,12 +27,12 @@
 	Number  uint64 `json:"number"`
 }
 
-// Config says how the stand-in behaves.
+// Config configures the stand-in.
 type Config struct {
 	ID     string
 	Listen string
 	Folder string
-	// Service is the mean time of a run.
+	// Service is the mean service time of a run.
 	Service time.Duration
 }
 
@@ -43,7 +43,7 @@
 	runs    atomic.Uint64
 }
 
-// Receipt is the answer to a call.
+// Receipt is the response to a call. Echo holds the start of the request's body.
 type Receipt struct {
 	Worker  string `json:"worker"`
 	Number  uint64 `json:"number"`
@@ -51,7 +51,7 @@
 	Echo    string `json:"echo"`
 }
 
-// New opens the journal.
+// New opens the journal and returns a worker.
 func New(config Config) (*Worker, error) {
 	journal, err := standin.OpenJournal(config.Folder, JournalName)
 	if err != nil {
@@ -60,16 +60,16 @@
 	return &Worker{config: config, journal: journal}, nil
 }
 
-// Run serves until the context ends.
+// Run serves until ctx is canceled.
 func (w *Worker) Run(ctx context.Context) error {
 	return standin.Serve(ctx, w.config.Listen, http.HandlerFunc(w.serve))
 }
 
-// maxEcho bounds how much of a body comes back.
+// maxEcho limits the echoed part of a body, in bytes.
 const maxEcho = 256
 
-// serve runs a call. The run is on record before the answer leaves, so that a
-// worker which dies in between has run it.
+// serve runs a call. It records the run before it responds, so that the run of a worker that is
+// killed in between is counted.
 func (w *Worker) serve(response http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 	if err != nil {
--- a/internal/standin/callers/application.go
+++ b/internal/standin/callers/application.go
@@ -15,58 +15,58 @@
 	"quinceridge.example/quinceridge/internal/workload"
 )
 
-// doubleShare is the share of charges that a caller sends twice at once, as an
-// impatient one does.
-const doubleShare = 16
+// duplicateInterval selects one in so many non-retryable calls to be sent twice concurrently.
+const duplicateInterval = 16
 
-// call makes an application call until it is answered or patience ends.
+// call makes an application call, with retries until retryTimeout.
 func (c *callers) call(ctx context.Context, r workload.Request) {
-	name := ""
+	idempotencyKey := ""
 	if !r.Kind.Repeatable {
-		name = key(r, c.config.Seed)
+		idempotencyKey = requestKey(r, c.config.Seed)
 	}
-	if name != "" && r.Number%doubleShare == 0 {
-		go func() { _, _ = c.tryCall(ctx, r, name, 1) }()
+	if idempotencyKey != "" && r.Number%duplicateInterval == 0 {
+		go func() { _, _ = c.tryCall(ctx, r, idempotencyKey, 1) }()
 	}
 	last := errBroken
-	for try, end := 0, time.Now().Add(patience); time.Now().Before(end); try++ {
+	for attempt, end := 0, time.Now().Add(retryTimeout); time.Now().Before(end); attempt++ {
 		var wait time.Duration
-		wait, last = c.tryCall(ctx, r, name, try)
+		wait, last = c.tryCall(ctx, r, idempotencyKey, attempt)
 		switch {
 		case last == nil:
-			c.report.called(name)
+			c.report.callAnswered(idempotencyKey)
 			return
-		case errors.Is(last, errCut):
-			c.report.unknown(name)
+		case errors.Is(last, errAborted):
+			c.report.callOutcomeUnknown(idempotencyKey)
 			return
 		case errors.Is(last, errWrong):
 			c.report.wrong(r, last)
 			return
 		}
-		if ctx.Err() != nil || errors.Is(last, errRejected) {
+		if ctx.Err() != nil || errors.Is(last, errInvalid) {
 			break
 		}
 		backoff(ctx, max(wait, 50*time.Millisecond))
 	}
 	if errors.Is(last, errRefused) {
-		c.report.callRefused(name)
+		c.report.callRefused(idempotencyKey)
 		return
 	}
-	c.report.gaveUp(r, last, false)
+	c.report.failed(r, last, false)
 }
 
-// tryCall sends one call. errCut says that its outcome is not known.
-func (c *callers) tryCall(ctx context.Context, r workload.Request, name string, try int) (time.Duration, error) {
-	body := r.Kind.Name + "/" + r.Tenant + "/" + key(r, c.config.Seed)
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.router(r.Number, try)+"/app"+r.Kind.Route, strings.NewReader(body))
+// tryCall makes one attempt and returns the retry delay. It returns errAborted if the outcome of the
+// call is unknown.
+func (c *callers) tryCall(ctx context.Context, r workload.Request, idempotencyKey string, attempt int) (time.Duration, error) {
+	body := r.Kind.Name + "/" + r.Tenant + "/" + requestKey(r, c.config.Seed)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.router(r.Number, attempt)+"/app"+r.Kind.Route, strings.NewReader(body))
 	if err != nil {
-		return 0, errors.Mark(err, errRejected)
+		return 0, errors.Mark(err, errInvalid)
 	}
 	request.GetBody = nil
 	request.Header.Set("Authorization", "Bearer "+deployment.Key(r.Tenant))
 	request.Header.Set("Content-Type", "text/plain")
-	if name != "" {
-		request.Header.Set("Idempotency-Key", name)
+	if idempotencyKey != "" {
+		request.Header.Set("Idempotency-Key", idempotencyKey)
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -77,7 +77,7 @@
 		return retryAfter(response), errBroken
 	}
 	if response.StatusCode != http.StatusOK {
-		return refusal(response)
+		return responseError(response)
 	}
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
--- a/internal/standin/callers/callers.go
+++ b/internal/standin/callers/callers.go
@@ -1,6 +1,5 @@
-// Package callers is the stand-in for callers: open-loop arrivals that retry as
-// real clients do, and check every answer for being whole, in order and their
-// own.
+// Package callers is the stand-in for callers. It generates open-loop load, retries as real clients
+// do, and checks that every answer is complete, in order and for the right prompt.
 package callers
 
 import (
@@ -16,36 +15,35 @@
 	"quinceridge.example/quinceridge/internal/workload"
 )
 
-// Limits of a caller's patience.
+// Timeouts of a caller.
 const (
-	// patience is how long a caller tries before it gives up.
-	patience       = 30 * time.Second
+	// retryTimeout is the time after which a request is no longer retried.
+	retryTimeout   = 30 * time.Second
 	requestTimeout = 60 * time.Second
-	// headerTimeout must exceed the longest useful queue, or callers ask twice
-	// for what is being worked on.
+	// headerTimeout exceeds the longest queueing delay, or callers would retry requests in progress.
 	headerTimeout = 15 * time.Second
-	longestWait   = 3 * time.Second
+	maxBackoff    = 3 * time.Second
 )
 
-// Config says what the callers do.
+// Config configures the callers.
 type Config struct {
 	Deployment deployment.Deployment
 	Plan       workload.Plan
 	Seed       uint64
-	// Routers are the addresses to call.
+	// Routers lists the addresses of the routers.
 	Routers []string
-	// Limit bounds how many requests are open at once.
+	// Limit is the maximum number of concurrent requests.
 	Limit int
-	// Progress is called about every second.
+	// Progress, if set, is called about once per second.
 	Progress func(Tally)
 }
 
-// Run sends the whole plan and returns what came of it.
+// Run sends all requests of the plan and returns the results. It stops sending when ctx is canceled.
 func Run(ctx context.Context, config Config) *Report {
 	c := &callers{config: config, report: newReport(), client: newClient(), slots: make(chan struct{}, config.Limit)}
 	generator := workload.New(config.Deployment, config.Plan, config.Seed)
 	started := time.Now()
-	stop := c.follow()
+	stop := c.reportProgress()
 	defer stop()
 	var group sync.WaitGroup
 	for {
@@ -57,8 +55,7 @@
 		select {
 		case c.slots <- struct{}{}:
 		default:
-			// The machine cannot hold more open requests. They are counted
-			// apart: they were never sent.
+			// The limit is reached: the arrival is counted as unsent.
 			c.report.unsent()
 			continue
 		}
@@ -94,8 +91,8 @@
 	}
 }
 
-// follow reports progress until it is stopped.
-func (c *callers) follow() (stop func()) {
+// reportProgress calls Progress about once per second until stop is called.
+func (c *callers) reportProgress() (stop func()) {
 	if c.config.Progress == nil {
 		return func() {}
 	}
@@ -126,18 +123,18 @@
 	c.generate(ctx, r)
 }
 
-// router returns the router for a try. Tries of one request go to different
-// ones.
-func (c *callers) router(number, try int) string {
-	return c.config.Routers[(number+try)%len(c.config.Routers)]
+// router returns the router for an attempt. Attempts rotate through the routers.
+func (c *callers) router(number, attempt int) string {
+	return c.config.Routers[(number+attempt)%len(c.config.Routers)]
 }
 
-// backoff waits before a retry, with jitter.
+// backoff sleeps before a retry for wait, at most maxBackoff, with jitter.
 func backoff(ctx context.Context, wait time.Duration) {
-	wait = min(wait, longestWait)
+	wait = min(wait, maxBackoff)
 	sleepUntil(ctx, time.Now().Add(wait/2+time.Duration(rand.Int64N(int64(wait)+1))))
 }
 
-func key(r workload.Request, seed uint64) string {
+// requestKey returns the unique key of a request, used as its idempotency key.
+func requestKey(r workload.Request, seed uint64) string {
 	return fmt.Sprintf("%s-%d-%d", r.Kind.Name, seed, r.Number)
 }
--- a/internal/standin/callers/report.go
+++ b/internal/standin/callers/report.go
@@ -9,32 +9,31 @@
 	"quinceridge.example/quinceridge/internal/workload"
 )
 
-// Tally is the counts of a run.
+// Tally holds the request counts of a run.
 type Tally struct {
 	Requests int `json:"requests"`
 	Answered int `json:"answered"`
-	// NotRun counts requests whose last answer was a refusal.
+	// NotRun counts requests whose last response was a refusal.
 	NotRun int `json:"not_run"`
-	// Refusals counts all refusals, those that a retry made good too.
+	// Refusals counts all refusals, also those followed by a successful retry.
 	Refusals       int `json:"refusals"`
 	OutcomeUnknown int `json:"outcome_unknown"`
-	// IncompleteStreams counts answers that were begun and never completed.
+	// IncompleteStreams counts answers that started but were never completed.
 	IncompleteStreams int `json:"incomplete_streams"`
-	// Lost counts requests that ended without any final answer.
+	// Lost counts requests that ended without a final response.
 	Lost int `json:"lost"`
-	// Wrong counts answers that were not the caller's own, doubled or out of
-	// order.
+	// Wrong counts answers with tokens that are wrong, duplicated or out of order.
 	Wrong int `json:"wrong"`
-	// Resumes counts streams that broke and were taken up again, Restarts those
-	// that the caller had to begin anew.
+	// Resumes counts streams that were resumed after a broken connection; Restarts counts those that
+	// the caller had to restart.
 	Resumes  int `json:"resumes"`
 	Restarts int `json:"restarts"`
 	Broken   int `json:"broken_connections"`
-	// Unsent counts arrivals that the callers' machine could not send.
+	// Unsent counts arrivals that were not sent because Config.Limit was reached.
 	Unsent int `json:"unsent"`
 }
 
-// Latency is the tail of a time, in seconds.
+// Latency holds percentiles of a latency, in seconds.
 type Latency struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -42,30 +41,30 @@
 	P99   float64 `json:"p99"`
 }
 
-// Report is what came of a run. It is safe for concurrent use.
+// Report holds the results of a run. Its methods are safe for concurrent use.
 type Report struct {
 	mu sync.Mutex
 
-	Tally   Tally              `json:"tally"`
-	Seconds float64            `json:"seconds"`
-	TTFT    map[string]Latency `json:"ttft"`
-	// TokenGap is the mean time between tokens of an answer.
+	Tally   Tally   `json:"tally"`
+	Seconds float64 `json:"seconds"`
+	// TTFT is the time to first token, by phase and by class and phase ("class/phase").
+	TTFT map[string]Latency `json:"ttft"`
+	// TokenGap is the distribution, over answers, of the mean time between tokens.
 	TokenGap Latency `json:"token_gap"`
-	// Called, Refused and Unknown list the keys of calls that may not be
-	// repeated, by their last answer.
+	// Called, Refused and Unknown list the idempotency keys of non-retryable calls by outcome.
 	Called  []string `json:"called"`
 	Refused []string `json:"refused"`
 	Unknown []string `json:"unknown"`
-	// RefusedRequests lists generation requests that were refused as not run.
+	// RefusedRequests lists the IDs of generation requests that were refused without being run.
 	RefusedRequests []string `json:"refused_requests"`
-	// Errors lists the first errors for people.
+	// Errors lists the first maxErrors errors, for diagnosis.
 	Errors []string `json:"errors"`
 
 	first map[string]*latency.Histogram
 	gaps  *latency.Histogram
 }
 
-// maxErrors bounds the errors that are kept for people.
+// maxErrors limits Report.Errors.
 const maxErrors = 20
 
 func newReport() *Report {
@@ -103,13 +102,13 @@
 			}
 			h.Record(wait)
 		}
-		if a.wanted > 1 {
-			r.gaps.Record(a.previous.Sub(a.first) / time.Duration(a.wanted-1))
+		if a.outputTokens > 1 {
+			r.gaps.Record(a.previous.Sub(a.first) / time.Duration(a.outputTokens-1))
 		}
 	})
 }
 
-func (r *Report) called(key string) {
+func (r *Report) callAnswered(key string) {
 	r.update(func() {
 		r.Tally.Answered++
 		if key != "" {
@@ -118,7 +117,7 @@
 	})
 }
 
-func (r *Report) unknown(key string) {
+func (r *Report) callOutcomeUnknown(key string) {
 	r.update(func() {
 		r.Tally.OutcomeUnknown++
 		if key != "" {
@@ -143,7 +142,7 @@
 	})
 }
 
-func (r *Report) broken(begun bool) {
+func (r *Report) disconnected(begun bool) {
 	r.update(func() {
 		r.Tally.Broken++
 		if begun {
@@ -155,12 +154,12 @@
 func (r *Report) wrong(request workload.Request, err error) {
 	r.update(func() {
 		r.Tally.Wrong++
-		r.note(request, err)
+		r.addError(request, err)
 	})
 }
 
-// gaveUp ends a request without an answer.
-func (r *Report) gaveUp(request workload.Request, err error, begun bool) {
+// failed records a request that ended without a complete answer.
+func (r *Report) failed(request workload.Request, err error, begun bool) {
 	r.update(func() {
 		switch {
 		case begun:
@@ -171,11 +170,11 @@
 		default:
 			r.Tally.Lost++
 		}
-		r.note(request, err)
+		r.addError(request, err)
 	})
 }
 
-func (r *Report) note(request workload.Request, err error) {
+func (r *Report) addError(request workload.Request, err error) {
 	if len(r.Errors) < maxErrors {
 		r.Errors = append(r.Errors, fmt.Sprintf("request %d (%s, %s) at %.1fs: %v", request.Number, request.Kind.Name, request.Tenant, request.At.Seconds(), err))
 	}
@@ -185,12 +184,12 @@
 	r.update(func() {
 		r.Seconds = took.Seconds()
 		for name, h := range r.first {
-			r.TTFT[name] = tail(h)
+			r.TTFT[name] = percentiles(h)
 		}
-		r.TokenGap = tail(r.gaps)
+		r.TokenGap = percentiles(r.gaps)
 	})
 }
 
-func tail(h *latency.Histogram) Latency {
+func percentiles(h *latency.Histogram) Latency {
 	return Latency{Count: h.Count(), P50: h.Seconds(50), P95: h.Seconds(95), P99: h.Seconds(99)}
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,6 +1,5 @@
-// Package engine is the stand-in for an inference engine. It serves the
-// published protocol over the service-time model of package enginemodel, so
-// that time to first token follows from batching and caching.
+// Package engine is the stand-in for an inference engine. It serves the engine protocol with the
+// service times of package enginemodel, so that time to first token depends on batching and caching.
 package engine
 
 import (
@@ -19,22 +18,22 @@
 	"quinceridge.example/quinceridge/internal/standin"
 )
 
-// JournalName is the file of admissions and cache events in the data folder.
+// JournalName is the file name of the journal of admissions and cache events.
 const JournalName = "engine.jsonl"
 
-// Times of the stand-in.
+// Timeouts and intervals of the stand-in.
 const (
-	// detachGrace is how long a request goes on after its connection is lost.
+	// detachGrace is the time after which a request without a connection is canceled.
 	detachGrace = 3 * time.Second
-	// heldAfter is how long a finished answer can be resumed.
-	heldAfter = 10 * time.Second
-	// keepalive is the time between comments while a request waits.
-	keepalive = time.Second
-	// reapInterval is how often lost and old requests are looked for.
+	// resumeWindow is the time for which a finished answer can be resumed.
+	resumeWindow = 10 * time.Second
+	// keepaliveInterval is the interval of SSE comments while a stream has no tokens to send.
+	keepaliveInterval = time.Second
+	// reapInterval is the interval of checks for expired requests.
 	reapInterval = 500 * time.Millisecond
 )
 
-// Config says how the stand-in behaves.
+// Config configures the stand-in.
 type Config struct {
 	ID             string
 	Listen         string
@@ -42,18 +41,17 @@
 	Model          string
 	WeightsVersion int
 	Service        enginemodel.Config
-	// ReportLag is how old the status is that is given out.
+	// ReportLag is the minimum age of a reported status, once one is that old.
 	ReportLag time.Duration
-	// EventLag and EventLoss say how late cache events come, and what share of
-	// them never does.
+	// EventLag is the delay of cache events; EventLoss is the fraction of them that is dropped.
 	EventLag  time.Duration
 	EventLoss float64
-	// WeightStore and KVStore are addresses; empty means none.
+	// WeightStore and KVStore are the addresses of the stores; empty means none.
 	WeightStore string
 	KVStore     string
 }
 
-// Engine is the running stand-in. Lock order: mu only.
+// Engine is the stand-in's server.
 type Engine struct {
 	config      Config
 	incarnation string
@@ -68,17 +66,17 @@
 	name     string // the loaded model
 	draining bool
 	fence    engineapi.Fence
-	reports  []reported
+	statuses []statusSample
 	events   eventLog
 }
 
-// reported is a status and when it was true.
-type reported struct {
+// statusSample is a status and the time at which it was taken.
+type statusSample struct {
 	at     time.Time
 	status engineapi.Status
 }
 
-// held is a request that the engine knows.
+// held is a request that the engine holds: it is in progress, or finished and can be resumed.
 type held struct {
 	id       string
 	tenant   string
@@ -86,16 +84,16 @@
 	tokens   int    // length of the prompt
 	first    int    // index of the first token generated here
 	total    int    // tokens of the whole answer
-	ready    int    // tokens up to this index are ready
+	ready    int    // tokens before this index are ready
 	cached   int
 	done     bool
 	canceled bool
 	attached int
-	since    time.Time // when it was detached or finished
-	changed  chan struct{}
+	since    time.Time     // when the last connection ended or the request finished
+	changed  chan struct{} // closed and replaced at each change
 }
 
-// New opens the journal and draws a new incarnation.
+// New opens the journal and returns an engine with a new random incarnation.
 func New(config Config) (*Engine, error) {
 	journal, err := standin.OpenJournal(config.Folder, JournalName)
 	if err != nil {
@@ -112,9 +110,9 @@
 	return e, nil
 }
 
-// Run serves until the context ends.
+// Run serves until ctx is canceled.
 func (e *Engine) Run(ctx context.Context) error {
-	go e.work(ctx)
+	go e.runSteps(ctx)
 	go e.reap(ctx)
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+engineapi.PathCompletions, e.complete)
@@ -128,8 +126,8 @@
 
 func (e *Engine) now() time.Duration { return time.Since(e.started) }
 
-// work runs the model's steps in real time.
-func (e *Engine) work(ctx context.Context) {
+// runSteps runs the model's steps in real time.
+func (e *Engine) runSteps(ctx context.Context) {
 	timer := time.NewTimer(math.MaxInt64)
 	for {
 		next := e.step()
@@ -154,7 +152,7 @@
 	}
 }
 
-// step runs one step of the model and hands out what it brought.
+// step steps the model, applies its output, and returns the end of the running step.
 func (e *Engine) step() (next time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -179,7 +177,7 @@
 		h.done = true
 		h.since = time.Now()
 	}
-	h.change()
+	h.notify()
 }
 
 func (e *Engine) admitted(a enginemodel.Admitted) {
@@ -192,13 +190,13 @@
 		Request: h.id, Tenant: h.tenant, Prompt: a.Request.PromptTokens, Cached: a.CachedTokens, Chain: a.Request.Chain})
 }
 
-// change wakes all who wait for the request. The caller holds the lock.
-func (h *held) change() {
+// notify wakes all handlers that wait for the request. The caller holds e.mu.
+func (h *held) notify() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-// reap drops requests that nobody has come back for, and old answers.
+// reap cancels abandoned requests and removes expired answers.
 func (e *Engine) reap(ctx context.Context) {
 	periodic.Run(ctx, reapInterval, func(context.Context) { e.reapOnce(time.Now()) })
 }
@@ -209,7 +207,7 @@
 	for id, h := range e.held {
 		switch {
 		case h.attached > 0:
-		case h.done && now.Sub(h.since) > heldAfter:
+		case h.done && now.Sub(h.since) > resumeWindow:
 			delete(e.held, id)
 		case !h.done && now.Sub(h.since) > detachGrace:
 			e.drop(h)
@@ -217,35 +215,35 @@
 	}
 }
 
-// drop cancels a request. The caller holds the lock.
+// drop cancels a request. The caller holds e.mu.
 func (e *Engine) drop(h *held) {
 	e.model.Cancel(h.id)
 	delete(e.held, h.id)
 	h.canceled = true
-	h.change()
+	h.notify()
 	e.journal.Write(Record{At: time.Now().UnixMicro(), Kind: RecordCancel, Engine: e.config.ID, Incarnation: e.incarnation, Request: h.id})
 }
 
-// report remembers the status of now, and returns the newest one that is as
-// old as the report lag. The caller holds the lock.
-func (e *Engine) report(now time.Time) engineapi.Status {
+// laggedStatus records the current status and returns the newest one that is at least ReportLag old,
+// or else the oldest one. The caller holds e.mu.
+func (e *Engine) laggedStatus(now time.Time) engineapi.Status {
 	load := e.model.Load()
-	e.reports = append(e.reports, reported{at: now, status: engineapi.Status{
+	e.statuses = append(e.statuses, statusSample{at: now, status: engineapi.Status{
 		ID: e.config.ID, Incarnation: e.incarnation, Model: e.name, WeightsVersion: e.weights, Draining: e.draining,
 		Running: load.Running, Waiting: load.Waiting, PrefillTokens: load.PrefillTokens, DecodeSlots: e.config.Service.DecodeSlots,
 	}})
-	for len(e.reports) > 1 && now.Sub(e.reports[1].at) >= e.config.ReportLag {
-		e.reports = e.reports[1:]
+	for len(e.statuses) > 1 && now.Sub(e.statuses[1].at) >= e.config.ReportLag {
+		e.statuses = e.statuses[1:]
 	}
-	return e.reports[0].status
+	return e.statuses[0].status
 }
 
 func (e *Engine) status(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	status := e.report(time.Now())
+	status := e.laggedStatus(time.Now())
 	e.mu.Unlock()
 	standin.WriteJSON(w, http.StatusOK, status)
 }
 
-// lost tells whether a cache event is among those that never come.
-func (e *Engine) lost() bool { return mathrand.Float64() < e.config.EventLoss }
+// loseEvent randomly reports whether to drop a cache event.
+func (e *Engine) loseEvent() bool { return mathrand.Float64() < e.config.EventLoss }
--- a/internal/standin/engine/journal.go
+++ b/internal/standin/engine/journal.go
@@ -11,10 +11,10 @@
 	"quinceridge.example/quinceridge/internal/standin"
 )
 
-// RecordKind names a line of the journal.
+// RecordKind is the kind of a journal record.
 type RecordKind string
 
-// The lines of the journal.
+// The kinds of journal records.
 const (
 	RecordStart  RecordKind = "start"
 	RecordAdmit  RecordKind = "admit"
@@ -24,7 +24,7 @@
 
 // Record is one line of the journal.
 type Record struct {
-	// At is the wall clock in microseconds.
+	// At is the wall-clock time in microseconds.
 	At          int64                    `json:"at"`
 	Kind        RecordKind               `json:"kind"`
 	Engine      string                   `json:"engine"`
@@ -37,7 +37,7 @@
 	Events      []enginemodel.CacheEvent `json:"events,omitempty"`
 }
 
-// maxEvents bounds the events that are kept for readers.
+// maxEvents limits the cache events that are kept for readers.
 const maxEvents = 65536
 
 type loggedEvent struct {
@@ -45,14 +45,14 @@
 	event enginemodel.CacheEvent
 }
 
-// eventLog is the engine's published cache events. Numbers count from 1.
+// eventLog holds the published cache events, numbered from 1.
 type eventLog struct {
-	first  uint64 // number of events[0]
+	first  uint64 // number of the event before events[0]
 	events []loggedEvent
 }
 
-// publish journals events and offers those that are not lost. The caller holds
-// the lock.
+// publish writes events to the journal and makes all but randomly dropped ones available to readers.
+// The caller holds e.mu.
 func (e *Engine) publish(events []enginemodel.CacheEvent) {
 	if len(events) == 0 {
 		return
@@ -60,7 +60,7 @@
 	now := time.Now()
 	e.journal.Write(Record{At: now.UnixMicro(), Kind: RecordCache, Engine: e.config.ID, Incarnation: e.incarnation, Events: events})
 	for _, event := range events {
-		if !e.lost() {
+		if !e.loseEvent() {
 			e.events.events = append(e.events.events, loggedEvent{now, event})
 		}
 	}
@@ -70,7 +70,7 @@
 	}
 }
 
-// cacheEvents serves the events after a number, as late as configured.
+// cacheEvents serves the events after a number that are at least EventLag old.
 func (e *Engine) cacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	e.mu.Lock()
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -18,14 +18,14 @@
 	"quinceridge.example/quinceridge/internal/standin/weightstore"
 )
 
-// transferTimeout bounds a call to a store.
+// transferTimeout is the timeout of a call to a store.
 const transferTimeout = 30 * time.Second
 
-// order takes a fenced order.
+// order accepts an order if it is for this incarnation and has a newer fence than all before.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var order engineapi.Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
-		refuse(w, http.StatusBadRequest, engineapi.KindInvalid, err.Error())
+		writeError(w, http.StatusBadRequest, engineapi.KindInvalid, err.Error())
 		return
 	}
 	e.mu.Lock()
@@ -36,12 +36,12 @@
 	reply := engineapi.OrderReply{Accepted: accepted, Highest: e.fence}
 	e.mu.Unlock()
 	if accepted {
-		e.obey(order)
+		e.execute(order)
 	}
 	standin.WriteJSON(w, http.StatusOK, reply)
 }
 
-func (e *Engine) obey(order engineapi.Order) {
+func (e *Engine) execute(order engineapi.Order) {
 	switch order.Kind {
 	case engineapi.OrderLoad:
 		go e.load(order)
@@ -54,8 +54,8 @@
 	}
 }
 
-// load changes model or version once the weights are here. The cache of other
-// weights is of no use and is dropped.
+// load changes the model or weights version after fetching the weights. It cancels unfinished
+// requests and starts with an empty cache, which depends on the weights.
 func (e *Engine) load(order engineapi.Order) {
 	if e.config.WeightStore != "" {
 		url := fmt.Sprintf("http://%s%s%s/%d", e.config.WeightStore, weightstore.PathWeights, order.Model, order.WeightsVersion)
@@ -66,7 +66,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if order.Fence != e.fence {
-		return // a later order came meanwhile
+		return // superseded by a newer order
 	}
 	for _, h := range e.held {
 		if !h.done {
@@ -78,8 +78,7 @@
 	e.signal()
 }
 
-// prewarm brings a prompt into the cache, by import where the KV store has it
-// and by prefill where not.
+// prewarm caches a prompt, imported from the KV store if it is there, else by prefill.
 func (e *Engine) prewarm(order engineapi.Order) {
 	scope := prefix.Scope{Tenant: order.Tenant, Shared: order.Shared}
 	if order.Shared != "" {
@@ -105,17 +104,17 @@
 	}
 }
 
-// awaitCached waits until a chain is in the cache.
+// awaitCached polls until the chain is cached. It returns false on timeout.
 func (e *Engine) awaitCached(chain prefix.Chain) bool {
-	const look, looks = 50 * time.Millisecond, 200
-	for range looks {
+	const pollInterval, polls = 50 * time.Millisecond, 200
+	for range polls {
 		e.mu.Lock()
 		cached := e.model.Match(chain) == len(chain)
 		e.mu.Unlock()
 		if cached {
 			return true
 		}
-		time.Sleep(look)
+		time.Sleep(pollInterval)
 	}
 	return false
 }
@@ -143,7 +142,7 @@
 	_ = call(http.MethodPut, "http://"+e.config.KVStore+kvstore.PathChains+name, entry, nil)
 }
 
-// call sends a request to a store and decodes the answer, if one is wanted.
+// call sends a request to a store and decodes the response into into, unless that is nil.
 func call(method, url string, body, into any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
@@ -161,7 +160,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return errors.Newf("store answered %d", response.StatusCode)
+		return errors.Newf("store returned status %d", response.StatusCode)
 	}
 	if into == nil {
 		return nil
--- a/internal/standin/engine/serve.go
+++ b/internal/standin/engine/serve.go
@@ -18,30 +18,30 @@
 )
 
 const (
-	maxBody       = 64 << 20
-	defaultOutput = 16
+	maxBody       = 64 << 20 // bytes
+	defaultOutput = 16       // tokens, if max_tokens is absent
 )
 
-func refuse(w http.ResponseWriter, status int, kind engineapi.ErrorKind, message string) {
+func writeError(w http.ResponseWriter, status int, kind engineapi.ErrorKind, message string) {
 	standin.WriteJSON(w, status, engineapi.ErrorBody{Error: engineapi.ErrorDetail{Message: message, Type: kind}})
 }
 
 // incoming is a decoded request with its headers.
 type incoming struct {
-	body     engineapi.CompletionRequest
-	id       string
-	tenant   string
-	shared   string
-	sharedTo int
-	weights  int
-	priority int
-	index    int
-	only     bool
+	body        engineapi.CompletionRequest
+	id          string
+	tenant      string
+	shared      string
+	sharedBytes int
+	weights     int
+	priority    int
+	resumeIndex int
+	resumeOnly  bool
 }
 
 func decode(r *http.Request) (incoming, error) {
 	in := incoming{id: r.Header.Get(engineapi.HeaderRequestID), tenant: r.Header.Get(engineapi.HeaderTenant),
-		only: r.Header.Get(engineapi.HeaderResumeOnly) == "true"}
+		resumeOnly: r.Header.Get(engineapi.HeaderResumeOnly) == "true"}
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	if err != nil {
 		return in, errors.Wrap(err, "read body")
@@ -50,7 +50,7 @@
 		return in, errors.Wrap(err, "decode body")
 	}
 	for header, field := range map[string]*int{engineapi.HeaderMinimumWeights: &in.weights,
-		engineapi.HeaderPriority: &in.priority, engineapi.HeaderResumeIndex: &in.index} {
+		engineapi.HeaderPriority: &in.priority, engineapi.HeaderResumeIndex: &in.resumeIndex} {
 		text := r.Header.Get(header)
 		if text == "" {
 			continue
@@ -59,23 +59,23 @@
 			return in, errors.Wrapf(err, "header %s", header)
 		}
 	}
-	in.shared, in.sharedTo, err = engineapi.ParseShared(r.Header.Get(engineapi.HeaderShared))
+	in.shared, in.sharedBytes, err = engineapi.ParseShared(r.Header.Get(engineapi.HeaderShared))
 	if in.id == "" {
 		in.id = "direct-" + strconv.FormatInt(time.Now().UnixNano(), 36)
 	}
 	return in, err
 }
 
-// complete serves a completion, new or resumed.
+// complete serves a new or resumed completion.
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
 	in, err := decode(r)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, engineapi.KindInvalid, err.Error())
+		writeError(w, http.StatusBadRequest, engineapi.KindInvalid, err.Error())
 		return
 	}
-	h, refused := e.attach(r, &in)
-	if refused != nil {
-		refuse(w, refused.status, refused.kind, refused.message)
+	h, rejected := e.attach(r, &in)
+	if rejected != nil {
+		writeError(w, rejected.status, rejected.kind, rejected.message)
 		return
 	}
 	defer e.detach(h)
@@ -84,67 +84,67 @@
 		e.stream(w, r, h, &in)
 		return
 	}
-	e.whole(w, r, h)
+	e.writeCompletion(w, r, h)
 }
 
-type refusal struct {
+type apiError struct {
 	status  int
 	kind    engineapi.ErrorKind
 	message string
 }
 
-// attach finds the held request, or takes a new one.
-func (e *Engine) attach(r *http.Request, in *incoming) (*held, *refusal) {
+// attach returns the held request with the ID, or enqueues a new one. The caller must detach it.
+func (e *Engine) attach(r *http.Request, in *incoming) (*held, *apiError) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if wanted := r.Header.Get(engineapi.HeaderIncarnation); wanted != "" && wanted != e.incarnation {
-		return nil, &refusal{http.StatusConflict, engineapi.KindIncarnation, "this is incarnation " + e.incarnation}
+		return nil, &apiError{http.StatusConflict, engineapi.KindIncarnation, "this is incarnation " + e.incarnation}
 	}
-	if h := e.held[in.id]; h != nil && h.tenant == in.tenant && in.index >= h.first {
+	if h := e.held[in.id]; h != nil && h.tenant == in.tenant && in.resumeIndex >= h.first {
 		h.attached++
 		return h, nil
 	}
-	if in.only {
-		return nil, &refusal{http.StatusGone, engineapi.KindNotHeld, "the request is not held"}
+	if in.resumeOnly {
+		return nil, &apiError{http.StatusGone, engineapi.KindNotHeld, "the request is not held"}
 	}
-	if refused := e.admissible(in); refused != nil {
-		return nil, refused
+	if rejected := e.checkAdmission(in); rejected != nil {
+		return nil, rejected
 	}
-	return e.take(in)
+	return e.enqueue(in)
 }
 
-func (e *Engine) admissible(in *incoming) *refusal {
+func (e *Engine) checkAdmission(in *incoming) *apiError {
 	switch {
 	case e.draining:
-		return &refusal{http.StatusServiceUnavailable, engineapi.KindDraining, "the engine is draining"}
+		return &apiError{http.StatusServiceUnavailable, engineapi.KindDraining, "the engine is draining"}
 	case in.body.Model != e.name:
-		return &refusal{http.StatusConflict, engineapi.KindModel, "the engine serves model " + e.name}
+		return &apiError{http.StatusConflict, engineapi.KindModel, "the engine serves model " + e.name}
 	case in.weights > e.weights:
-		return &refusal{http.StatusConflict, engineapi.KindWeights, fmt.Sprintf("the engine has weights version %d", e.weights)}
+		return &apiError{http.StatusConflict, engineapi.KindWeights, fmt.Sprintf("the engine has weights version %d", e.weights)}
 	case e.held[in.id] != nil:
-		return &refusal{http.StatusConflict, engineapi.KindInvalid, "the request's name is taken"}
+		return &apiError{http.StatusConflict, engineapi.KindInvalid, "the request ID is already in use"}
 	}
 	return nil
 }
 
-func (e *Engine) take(in *incoming) (*held, *refusal) {
+func (e *Engine) enqueue(in *incoming) (*held, *apiError) {
 	prompt := in.body.Text()
-	scope := prefix.Scope{Tenant: in.tenant, Shared: in.shared, SharedBytes: in.sharedTo}
+	scope := prefix.Scope{Tenant: in.tenant, Shared: in.shared, SharedBytes: in.sharedBytes}
 	chain, tokens := prefix.Digest(append(prompt, in.body.Continuation...), scope)
 	total := in.body.MaxTokens
 	if total == 0 {
 		total = defaultOutput
 	}
-	if in.index >= total {
-		return nil, &refusal{http.StatusBadRequest, engineapi.KindInvalid, "the resume index is past the answer's end"}
+	if in.resumeIndex >= total {
+		return nil, &apiError{http.StatusBadRequest, engineapi.KindInvalid, "the resume index is beyond the end of the answer"}
 	}
-	err := e.model.Add(enginemodel.Request{ID: in.id, Chain: chain, PromptTokens: tokens, OutputTokens: total - in.index,
-		FirstIndex: in.index, Priority: in.priority})
+	err := e.model.Add(enginemodel.Request{ID: in.id, Chain: chain, PromptTokens: tokens, OutputTokens: total - in.resumeIndex,
+		FirstIndex: in.resumeIndex, Priority: in.priority})
 	if err != nil {
-		return nil, &refusal{http.StatusServiceUnavailable, engineapi.KindQueueFull, err.Error()}
+		return nil, &apiError{http.StatusServiceUnavailable, engineapi.KindQueueFull, err.Error()}
 	}
-	h := &held{id: in.id, tenant: in.tenant, prompt: standin.PromptDigest(prompt), tokens: tokens, first: in.index,
-		total: total, ready: in.index, attached: 1, changed: make(chan struct{})}
+	h := &held{id: in.id, tenant: in.tenant, prompt: standin.PromptDigest(prompt), tokens: tokens, first: in.resumeIndex,
+		total: total, ready: in.resumeIndex, attached: 1, changed: make(chan struct{})}
 	e.held[in.id] = h
 	e.signal()
 	return h, nil
@@ -159,24 +159,24 @@
 	}
 }
 
-// look returns how far a request is, and what closes when it changes.
-func (e *Engine) look(h *held) (snapshot held, changed <-chan struct{}) {
+// observe returns a copy of the request and a channel that is closed at its next change.
+func (e *Engine) observe(h *held) (snapshot held, changed <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return *h, h.changed
 }
 
-// stream sends tokens as they come.
+// stream sends tokens as server-sent events when they become ready.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, h *held, in *incoming) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	flusher, _ := w.(http.Flusher)
 	flusher.Flush()
-	alive := time.NewTicker(keepalive)
-	defer alive.Stop()
+	ticker := time.NewTicker(keepaliveInterval)
+	defer ticker.Stop()
 	chat := strings.HasSuffix(r.URL.Path, "/chat/completions")
-	for next := in.index; ; {
-		now, changed := e.look(h)
+	for next := in.resumeIndex; ; {
+		now, changed := e.observe(h)
 		if now.canceled {
 			return
 		}
@@ -199,7 +199,7 @@
 		case <-changed:
 		case <-r.Context().Done():
 			return
-		case <-alive.C:
+		case <-ticker.C:
 			if _, err := io.WriteString(w, ": waiting\n\n"); err != nil {
 				return
 			}
@@ -226,7 +226,7 @@
 	return chunk
 }
 
-// final is the event after the last token.
+// final returns the event after the last token, with the usage.
 func (e *Engine) final(h *held, chat bool) engineapi.Chunk {
 	chunk := e.chunk(h, chat, h.total)
 	reason := "length"
@@ -240,10 +240,10 @@
 	return chunk
 }
 
-// whole sends the answer as one object, for callers without a router.
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, h *held) {
+// writeCompletion sends the complete answer as one JSON object.
+func (e *Engine) writeCompletion(w http.ResponseWriter, r *http.Request, h *held) {
 	for {
-		now, changed := e.look(h)
+		now, changed := e.observe(h)
 		if now.canceled {
 			return
 		}
@@ -265,7 +265,7 @@
 	}
 }
 
-// cancel drops a request.
+// cancel handles the cancellation of a request.
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/kvstore/kvstore.go
+++ b/internal/standin/kvstore/kvstore.go
@@ -1,5 +1,5 @@
-// Package kvstore is the stand-in for the store of kept KV cache. It keeps the
-// digests of chains, not their content, and takes as long as a transfer would.
+// Package kvstore is the stand-in for the store of exported KV cache. It stores block digests instead
+// of the cached data and delays each read by the simulated transfer time.
 package kvstore
 
 import (
@@ -14,47 +14,47 @@
 	"quinceridge.example/quinceridge/internal/standin"
 )
 
-// PathChains serves GET and PUT of a chain under the digest of its last block.
+// PathChains is the path prefix for GET and PUT of a chain, by the digest of its last block.
 const PathChains = "/chains/"
 
-// Config says how the stand-in behaves.
+// Config configures the stand-in.
 type Config struct {
 	Listen string
-	// Capacity is how many chains are kept.
+	// Capacity is the maximum number of stored chains.
 	Capacity int
-	// PerBlock is the time that the transfer of a block takes.
+	// PerBlock is the transfer time of one block.
 	PerBlock time.Duration
 }
 
-// Entry is a kept chain.
+// Entry is a stored chain.
 type Entry struct {
-	// Tenant may import the chain; empty for shared prompts.
+	// Tenant is the only tenant that may import the chain. It is empty for shared prompts.
 	Tenant string `json:"tenant"`
-	// Incarnation is the exporter's.
+	// Incarnation is the incarnation of the exporting engine.
 	Incarnation string       `json:"incarnation"`
 	Chain       prefix.Chain `json:"chain"`
 }
 
-type kept struct {
+type namedEntry struct {
 	name  string
 	entry Entry
 }
 
-// Store is the running stand-in.
+// Store is the stand-in's server. It evicts the least recently used chain when it is full.
 type Store struct {
 	config Config
 
 	mu      sync.Mutex
-	order   *list.List
+	lru     *list.List
 	entries map[string]*list.Element
 }
 
 // New returns an empty store.
 func New(config Config) *Store {
-	return &Store{config: config, order: list.New(), entries: map[string]*list.Element{}}
+	return &Store{config: config, lru: list.New(), entries: map[string]*list.Element{}}
 }
 
-// Run serves until the context ends.
+// Run serves until ctx is canceled.
 func (s *Store) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathChains+"{name}", s.get)
@@ -67,8 +67,8 @@
 	element, ok := s.entries[r.PathValue("name")]
 	var entry Entry
 	if ok {
-		s.order.MoveToFront(element)
-		entry = element.Value.(kept).entry
+		s.lru.MoveToFront(element)
+		entry = element.Value.(namedEntry).entry
 	}
 	s.mu.Unlock()
 	if !ok {
@@ -89,13 +89,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if old, ok := s.entries[name]; ok {
-		s.order.Remove(old)
+		s.lru.Remove(old)
 	}
-	s.entries[name] = s.order.PushFront(kept{name, entry})
-	if s.order.Len() > s.config.Capacity {
-		last := s.order.Back()
-		s.order.Remove(last)
-		delete(s.entries, last.Value.(kept).name)
+	s.entries[name] = s.lru.PushFront(namedEntry{name, entry})
+	if s.lru.Len() > s.config.Capacity {
+		last := s.lru.Back()
+		s.lru.Remove(last)
+		delete(s.entries, last.Value.(namedEntry).name)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,5 +1,4 @@
-// Package platform is the stand-in for the platform's list of machines, which
-// lags behind the truth.
+// Package platform is the stand-in for the platform's list of machines. Reads return a stale list.
 package platform
 
 import (
@@ -14,19 +13,20 @@
 	"quinceridge.example/quinceridge/internal/standin"
 )
 
-// Config says how the stand-in behaves.
+// Config configures the stand-in.
 type Config struct {
 	Listen string
-	// Lag is how far the list is behind.
+	// Lag is the delay before a change becomes visible to readers.
 	Lag time.Duration
 }
 
+// version is the list of machines since a time.
 type version struct {
 	at       time.Time
 	machines []platformapi.Machine
 }
 
-// Platform is the running stand-in.
+// Platform is the stand-in's server.
 type Platform struct {
 	config Config
 
@@ -37,7 +37,7 @@
 // New returns a platform without machines.
 func New(config Config) *Platform { return &Platform{config: config, versions: []version{{}}} }
 
-// Run serves until the context ends.
+// Run serves until ctx is canceled.
 func (p *Platform) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+platformapi.PathMachines, p.get)
@@ -49,7 +49,7 @@
 	standin.WriteJSON(w, http.StatusOK, platformapi.List{Machines: p.visible(time.Now())})
 }
 
-// visible returns the newest list that is old enough to be seen.
+// visible returns the newest list that is at least Lag old, and discards older ones.
 func (p *Platform) visible(now time.Time) []platformapi.Machine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,7 +62,7 @@
 	return p.versions[0].machines
 }
 
-// post takes a change of some machines.
+// post replaces the machines in the body and removes those that are marked as gone.
 func (p *Platform) post(w http.ResponseWriter, r *http.Request) {
 	var change platformapi.List
 	if err := json.NewDecoder(r.Body).Decode(&change); err != nil {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin holds what the stand-ins of outside systems share. They exist
-// for rehearsals and tests only.
+// Package standin holds the code shared by the stand-ins for external systems. They are used only
+// in rehearsals and tests.
 package standin
 
 import (
@@ -16,9 +16,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Word is the token at an index of the answer to a prompt. It depends on
-// nothing else, so that a caller can tell whether it got its own answer, whole
-// and in order, whichever engine gave it.
+// Word returns the token at index of the answer to a prompt. It depends only on its arguments, so a
+// caller can check that an answer is its own, complete and in order, whichever engine sent it.
 func Word(prompt uint64, index int) string {
 	const letters = "abcdefghijklmnopqrstuvwxyz"
 	mixed := (prompt + uint64(index)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
@@ -32,17 +31,17 @@
 	return string(word[:])
 }
 
-// PromptDigest names a prompt for Word.
+// PromptDigest returns the digest of a prompt that Word takes.
 func PromptDigest(text []byte) uint64 { return xxhash.Sum64(text) }
 
-// Journal is a file of JSON lines that a stand-in leaves for the launcher. It
-// outlives a kill of the process.
+// Journal is a file of JSON lines that the launcher reads after a run. Lines are written unbuffered
+// and survive a kill of the process. It is safe for concurrent use.
 type Journal struct {
 	mu   sync.Mutex
 	file *os.File
 }
 
-// OpenJournal opens a journal of a data folder for appending.
+// OpenJournal opens the journal called name in dir for appending and creates dir if needed.
 func OpenJournal(dir, name string) (*Journal, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, errors.Wrap(err, "create data folder")
@@ -51,7 +50,7 @@
 	return &Journal{file: file}, errors.Wrap(err, "open journal")
 }
 
-// Write appends a line.
+// Write appends value as a line of JSON. Errors are ignored.
 func (j *Journal) Write(value any) {
 	line, err := json.Marshal(value)
 	if err != nil {
@@ -62,7 +61,7 @@
 	_, _ = j.file.Write(append(line, '\n'))
 }
 
-// Serve serves HTTP until the context ends.
+// Serve serves HTTP on address until ctx is canceled. It returns nil after cancellation.
 func Serve(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -77,7 +76,7 @@
 	return nil
 }
 
-// WriteJSON answers with a JSON body.
+// WriteJSON writes a response with a JSON body.
 func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/internal/standin/weightstore/weightstore.go
+++ b/internal/standin/weightstore/weightstore.go
@@ -1,5 +1,5 @@
-// Package weightstore is the stand-in for the rate-limited weight store: a load
-// takes as long as the weights take at the store's rate, shared by all.
+// Package weightstore is the stand-in for the rate-limited weight store. All clients share one rate
+// of loads.
 package weightstore
 
 import (
@@ -11,18 +11,18 @@
 	"quinceridge.example/quinceridge/internal/standin"
 )
 
-// PathWeights serves GET of one model and version; it answers when the transfer
-// is done.
+// PathWeights is the path prefix of GET {model}/{version}. The response, without a body, is sent
+// when the transfer is complete.
 const PathWeights = "/weights/"
 
-// Config says how the stand-in behaves.
+// Config configures the stand-in.
 type Config struct {
 	Listen string
-	// Loads is how many loads a second the store gives.
+	// Loads is the rate limit in loads per second.
 	Loads float64
 }
 
-// Run serves until the context ends.
+// Run serves until ctx is canceled.
 func Run(ctx context.Context, config Config) error {
 	limiter := rate.NewLimiter(rate.Limit(config.Loads), 1)
 	mux := http.NewServeMux()
