--- a/internal/enginemodel/model.go
+++ b/internal/enginemodel/model.go
@@ -1,9 +1,8 @@
-// Package enginemodel is the service-time model of an inference engine with
-// continuous batching, chunked prefill and a prefix cache of limited memory.
+// Package enginemodel models the service times of an inference engine with continuous batching,
+// chunked prefill and a prefix cache of limited size.
 //
-// It is pure: time comes in as an argument and outputs come back as values.
-// The stand-in engine process and the simulator both run it, so a figure of
-// one can be compared with a figure of the other.
+// The model has no clock or goroutines: time is an argument and outputs are return values. Both the
+// stand-in engine and the simulator use it, so their results are comparable.
 package enginemodel
 
 import (
@@ -15,17 +14,16 @@
 	"quinceridge.example/quinceridge/internal/prefix"
 )
 
-// ErrQueueFull is returned when the engine takes no more waiting requests.
-// The request was not run.
+// ErrQueueFull is returned by Add when QueueLimit requests are waiting. The request was not run.
 var ErrQueueFull = errors.New("engine queue is full")
 
-// Config is the service-time model of one engine.
+// Config holds the parameters of one engine.
 type Config struct {
-	// PrefillBudget is the largest number of prompt tokens in one step.
+	// PrefillBudget is the maximum number of prompt tokens computed in one step.
 	PrefillBudget int
-	// DecodeSlots is the largest number of sequences that run together.
+	// DecodeSlots is the maximum number of running sequences.
 	DecodeSlots int
-	// StepBase is the time of an empty step.
+	// StepBase is the duration of an empty step.
 	StepBase time.Duration
 	// PrefillPerToken is the added time of one prompt token in a step.
 	PrefillPerToken time.Duration
@@ -33,12 +31,11 @@
 	DecodePerSequence time.Duration
 	// CacheBlocks is the capacity of the prefix cache in blocks.
 	CacheBlocks int
-	// QueueLimit is the largest number of waiting requests.
+	// QueueLimit is the maximum number of waiting requests.
 	QueueLimit int
 }
 
-// DefaultConfig models one small accelerator: a step takes 10 to 30 ms, a
-// prompt token 0.08 ms of it.
+// DefaultConfig returns the parameters of an engine on one small accelerator.
 func DefaultConfig() Config {
 	return Config{
 		PrefillBudget:     200,
@@ -51,25 +48,26 @@
 	}
 }
 
-// PrefillTokensPerSecond is the prefill rate of an engine with a full batch.
+// PrefillTokensPerSecond returns the prefill rate at a full prefill budget with half of the decode
+// slots in use.
 func (c Config) PrefillTokensPerSecond() float64 {
 	step := c.StepBase + time.Duration(c.PrefillBudget)*c.PrefillPerToken + time.Duration(c.DecodeSlots/2)*c.DecodePerSequence
 	return float64(c.PrefillBudget) / step.Seconds()
 }
 
-// Request is one prompt to be answered.
+// Request is a generation request.
 type Request struct {
-	// ID is unique among the requests that the engine holds.
+	// ID is unique among the waiting and running requests.
 	ID string
-	// Chain is the digests of the prompt's whole blocks.
+	// Chain holds the digests of the prompt's full blocks.
 	Chain prefix.Chain
 	// PromptTokens is the length of the prompt in tokens.
 	PromptTokens int
-	// OutputTokens is how many tokens will be generated, at least 1.
+	// OutputTokens is the number of tokens to generate, at least 1.
 	OutputTokens int
 	// FirstIndex is the index of the first generated token.
 	FirstIndex int
-	// Priority orders waiting requests: larger values go first.
+	// Priority orders waiting requests: larger values are admitted first.
 	Priority int
 }
 
@@ -81,30 +79,29 @@
 	Last bool
 }
 
-// Admitted says that a request left the queue and how much was cached.
+// Admitted is a request that moved from the queue to a decode slot.
 type Admitted struct {
 	Request Request
-	// CachedTokens is the part of the prompt found in the cache.
+	// CachedTokens is the length of the cached prefix of the prompt.
 	CachedTokens int
 }
 
-// Output is what one step brought about.
+// Output holds the results of a call of Step.
 type Output struct {
 	Admitted []Admitted
 	Tokens   []Token
 	Events   []CacheEvent
-	// Next is when the step now running ends. Zero means that the engine is
-	// idle.
+	// Next is the end of the running step. Zero means that the engine is idle.
 	Next time.Duration
 }
 
-// Load is the engine's own account of its work.
+// Load is the current load of an engine.
 type Load struct {
 	// Running and Waiting count sequences.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// PrefillTokens is the prompt tokens still to be computed. Blocks that
-	// several requests lack count once: the first one computes them.
+	// PrefillTokens is the number of prompt tokens yet to be computed. Uncached blocks shared by
+	// several requests count once.
 	PrefillTokens int `json:"prefill_tokens"`
 }
 
@@ -112,7 +109,7 @@
 	request    Request
 	order      uint64
 	prefilled  int // tokens of the prompt in the cache or computed
-	inserted   int // blocks of the chain made known to the cache
+	inserted   int // blocks of the chain inserted into the cache or found there
 	generated  int
 	stepTokens int // prompt tokens computed in the running step
 	decoding   bool
@@ -134,29 +131,29 @@
 	return &Engine{config: config, cache: newCache(config.CacheBlocks)}
 }
 
-// Add queues a request. The caller calls Step afterwards.
+// Add queues a request, or returns ErrQueueFull. The caller must then call Step.
 func (e *Engine) Add(request Request) error {
 	if len(e.waiting) >= e.config.QueueLimit {
 		return ErrQueueFull
 	}
 	e.order++
 	s := &sequence{request: request, order: e.order}
-	at := sort.Search(len(e.waiting), func(i int) bool { return after(e.waiting[i], s) })
+	at := sort.Search(len(e.waiting), func(i int) bool { return servedAfter(e.waiting[i], s) })
 	e.waiting = append(e.waiting, nil)
 	copy(e.waiting[at+1:], e.waiting[at:])
 	e.waiting[at] = s
 	return nil
 }
 
-// after tells whether a is served after b.
-func after(a, b *sequence) bool {
+// servedAfter reports whether a is served after b.
+func servedAfter(a, b *sequence) bool {
 	if a.request.Priority != b.request.Priority {
 		return a.request.Priority < b.request.Priority
 	}
 	return a.order > b.order
 }
 
-// Cancel drops a request and tells whether it was held.
+// Cancel removes a request and reports whether it was waiting or running.
 func (e *Engine) Cancel(id string) bool {
 	for i, s := range e.waiting {
 		if s.request.ID == id {
@@ -173,24 +170,24 @@
 	return false
 }
 
-// Load returns the engine's present work.
+// Load returns the current load.
 func (e *Engine) Load() Load {
 	load := Load{Running: len(e.running), Waiting: len(e.waiting)}
 	counted := map[uint64]bool{}
 	for _, s := range e.running {
-		load.PrefillTokens += uncounted(s.request, s.prefilled/prefix.BlockTokens, counted)
+		load.PrefillTokens += uncountedTokens(s.request, s.prefilled/prefix.BlockTokens, counted)
 	}
 	for _, s := range e.waiting {
-		load.PrefillTokens += uncounted(s.request, e.cache.match(s.request.Chain), counted)
+		load.PrefillTokens += uncountedTokens(s.request, e.cache.match(s.request.Chain), counted)
 	}
 	return load
 }
 
-// uncounted returns the tokens after the first held blocks that no request
-// before has counted, and counts them.
-func uncounted(r Request, held int, counted map[uint64]bool) int {
+// uncountedTokens returns the number of the request's prompt tokens, without the first cachedBlocks
+// blocks and the blocks in counted. It adds the blocks that it counts to counted.
+func uncountedTokens(r Request, cachedBlocks int, counted map[uint64]bool) int {
 	tokens := r.PromptTokens - len(r.Chain)*prefix.BlockTokens
-	for i := held; i < len(r.Chain); i++ {
+	for i := cachedBlocks; i < len(r.Chain); i++ {
 		if !counted[r.Chain[i]] {
 			counted[r.Chain[i]] = true
 			tokens += prefix.BlockTokens
@@ -199,13 +196,13 @@
 	return max(tokens, 0)
 }
 
-// Match returns how many leading blocks of the chain are cached now.
+// Match returns the number of leading blocks of the chain that are cached.
 func (e *Engine) Match(chain prefix.Chain) int { return e.cache.match(chain) }
 
-// Blocks returns how many blocks are cached now.
+// Blocks returns the number of cached blocks.
 func (e *Engine) Blocks() int { return len(e.cache.blocks) }
 
-// Import places the chain's blocks in the cache, as a KV import does.
+// Import inserts the chain's blocks into the cache without prefill and returns the cache events.
 func (e *Engine) Import(chain prefix.Chain) []CacheEvent {
 	for i := len(chain) - 1; i >= 0; i-- {
 		e.cache.insert(chain[i], i+1)
@@ -213,8 +210,8 @@
 	return e.cache.drainEvents()
 }
 
-// Step ends the step that is due at now, if any, and starts the next one. It
-// may be called at any time; before the running step's end it changes nothing.
+// Step finishes the running step if it ends by now, and starts the next one. Before the end of the
+// running step it has no effect.
 func (e *Engine) Step(now time.Duration) Output {
 	var out Output
 	if e.stepping && now < e.stepEnd {
@@ -222,20 +219,20 @@
 		return out
 	}
 	if e.stepping {
-		out.Tokens = e.finish()
+		out.Tokens = e.finishStep()
 		e.stepping = false
 	}
 	out.Admitted = e.admit()
 	if len(e.running) > 0 {
 		e.stepping = true
-		e.stepEnd = now + e.plan()
+		e.stepEnd = now + e.planStep()
 		out.Next = e.stepEnd
 	}
 	out.Events = e.cache.drainEvents()
 	return out
 }
 
-// admit moves waiting requests to free slots.
+// admit moves waiting requests to free decode slots.
 func (e *Engine) admit() []Admitted {
 	var admitted []Admitted
 	for len(e.waiting) > 0 && len(e.running) < e.config.DecodeSlots {
@@ -250,8 +247,8 @@
 	return admitted
 }
 
-// plan chooses the work of the next step and returns its duration.
-func (e *Engine) plan() time.Duration {
+// planStep assigns the next step's prefill budget and returns the step's duration.
+func (e *Engine) planStep() time.Duration {
 	budget := e.config.PrefillBudget
 	duration := e.config.StepBase
 	for _, s := range e.running {
@@ -266,10 +263,10 @@
 	return duration
 }
 
-// finish applies the planned work and returns the tokens it generated.
-func (e *Engine) finish() []Token {
+// finishStep applies the planned work and returns the generated tokens.
+func (e *Engine) finishStep() []Token {
 	var tokens []Token
-	kept := e.running[:0]
+	remaining := e.running[:0]
 	for _, s := range e.running {
 		e.advance(s)
 		if s.decoding {
@@ -282,14 +279,14 @@
 				continue
 			}
 		}
-		kept = append(kept, s)
+		remaining = append(remaining, s)
 	}
-	clear(e.running[len(kept):])
-	e.running = kept
+	clear(e.running[len(remaining):])
+	e.running = remaining
 	return tokens
 }
 
-// advance adds the step's prompt tokens and makes whole blocks known.
+// advance adds the step's prompt tokens and inserts completed blocks into the cache.
 func (e *Engine) advance(s *sequence) {
 	s.prefilled += s.stepTokens
 	s.stepTokens = 0
--- a/internal/enginemodel/model_test.go
+++ b/internal/enginemodel/model_test.go
@@ -38,19 +38,19 @@
 	}
 }
 
-func TestACachedPromptIsFasterByItsPrefill(t *testing.T) {
+func TestCachedPromptSkipsPrefill(t *testing.T) {
 	e := New(DefaultConfig())
 	assert.NilError(t, e.Add(request("cold", 1, 100)))
-	_, tokens, _, cold := run(e)
+	_, tokens, _, uncachedTime := run(e)
 	assert.Equal(t, len(tokens), 2)
 	assert.Assert(t, tokens[1].Last)
 	assert.NilError(t, e.Add(request("warm", 1, 100)))
-	admitted, _, _, warm := run(e)
+	admitted, _, _, cachedTime := run(e)
 	assert.Equal(t, admitted[0].CachedTokens, 100*prefix.BlockTokens)
-	assert.Assert(t, cold > 20*warm, "%v and %v", cold, warm)
+	assert.Assert(t, uncachedTime > 20*cachedTime, "%v and %v", uncachedTime, cachedTime)
 }
 
-func TestTheLeastUsedBlocksGoFirst(t *testing.T) {
+func TestCacheEvictsLeastRecentlyUsedBlocks(t *testing.T) {
 	config := DefaultConfig()
 	config.CacheBlocks = 30
 	e := New(config)
@@ -65,7 +65,7 @@
 	assert.Equal(t, e.Blocks(), 30)
 }
 
-func TestPrioritiesGoFirstAndCancelsAreDropped(t *testing.T) {
+func TestEngineAdmitsByPriorityAndDropsCanceledRequests(t *testing.T) {
 	config := DefaultConfig()
 	config.DecodeSlots, config.QueueLimit = 1, 3
 	e := New(config)
@@ -82,7 +82,7 @@
 	assert.Equal(t, admitted[0].Request.ID, "high")
 }
 
-func TestLoadCountsASharedPrefixOnce(t *testing.T) {
+func TestLoadCountsSharedPrefixOnce(t *testing.T) {
 	e := New(DefaultConfig())
 	for i := range 5 {
 		assert.NilError(t, e.Add(request(fmt.Sprint(i), 1, 100)))
@@ -91,7 +91,7 @@
 	assert.Equal(t, e.Load().Waiting, 5)
 }
 
-func TestAnAnswerGoesOnFromItsIndex(t *testing.T) {
+func TestEngineNumbersTokensFromFirstIndex(t *testing.T) {
 	e := New(DefaultConfig())
 	r := request("r", 1, 4)
 	r.FirstIndex = 7
