--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -1,9 +1,9 @@
-// Package workload makes the traffic of a deployment: open-loop arrivals of
-// requests with nested shared prefixes, a surge at a known start, and a hot set
-// that may change during it. Equal seeds give equal traffic.
+// Package workload generates the traffic of a deployment: open-loop arrivals of requests with
+// nested shared prefixes, a surge at a planned time, and an optional change of the hot documents.
+// Equal seeds give equal traffic.
 //
-// The callers' stand-in turns a Request into text; the simulator turns it into
-// a chain of block digests. Both share the same structure.
+// The stand-in for callers uses a request's text; the simulator uses its chain of block digests.
+// Both are made of the same segments.
 package workload
 
 import (
@@ -20,7 +20,7 @@
 	"quinceridge.example/quinceridge/internal/prefix"
 )
 
-// Phase tells in which part of the run a request arrives.
+// Phase is a part of a run.
 type Phase string
 
 // The phases of a run.
@@ -30,20 +30,20 @@
 	After  Phase = "after"
 )
 
-// Plan is the shape of a run in time.
+// Plan is the schedule of a run. Times are relative to its start.
 type Plan struct {
-	// SurgeStart and SurgeEnd bound the event. Equal values mean none.
+	// SurgeStart and SurgeEnd are the bounds of the surge. Equal values mean no surge.
 	SurgeStart time.Duration
 	SurgeEnd   time.Duration
-	// ShiftAt is when other documents become hot. Zero means never.
+	// ShiftAt is the time of the change of hot documents. Zero means never.
 	ShiftAt time.Duration
-	// End is when arrivals stop.
+	// End is the time at which arrivals stop.
 	End time.Duration
-	// Demand multiplies all rates. Zero means 1.
+	// Demand is a factor on all arrival rates. Zero means 1.
 	Demand float64
 }
 
-// Phase returns the phase of a time.
+// Phase returns the phase at a time.
 func (p Plan) Phase(at time.Duration) Phase {
 	switch {
 	case at < p.SurgeStart || p.SurgeStart == p.SurgeEnd:
@@ -54,46 +54,47 @@
 	return After
 }
 
-// Request is one arrival.
+// Request is one arriving request.
 type Request struct {
 	Number int
 	At     time.Duration
 	Phase  Phase
 	Tenant string
 	Kind   deployment.Kind
-	// Document is the number of the shared text.
+	// Document is the index of the shared document.
 	Document int
-	// Application says that this is an application call.
+	// Application marks an application call, as opposed to a generation request.
 	Application bool
 }
 
-// Generator makes the arrivals of a run, in order of time.
+// Generator generates the arrivals of a run in order of time.
 type Generator struct {
 	deployment deployment.Deployment
 	plan       Plan
-	random     *rand.Rand
+	rng        *rand.Rand
 	at         time.Duration
 	number     int
-	// hot is the Zipf table of document popularity by kind.
+	// popularity holds each document's share of requests, by kind.
 	popularity map[string][]float64
 }
 
-// popularityExponent shapes how hot the hottest documents are.
+// popularityExponent is the exponent of the Zipf distribution of document popularity.
 const popularityExponent = 1.1
 
-// New returns a generator.
+// New returns a generator of a deployment's traffic.
 func New(d deployment.Deployment, plan Plan, seed uint64) *Generator {
 	if plan.Demand == 0 {
 		plan.Demand = 1
 	}
-	g := &Generator{deployment: d, plan: plan, random: rand.New(rand.NewPCG(seed, 0x9e3779b9)), popularity: map[string][]float64{}}
+	g := &Generator{deployment: d, plan: plan, rng: rand.New(rand.NewPCG(seed, 0x9e3779b9)), popularity: map[string][]float64{}}
 	for _, kind := range d.Generation {
-		g.popularity[kind.Name] = zipf(kind.Documents)
+		g.popularity[kind.Name] = zipfShares(kind.Documents)
 	}
 	return g
 }
 
-func zipf(n int) []float64 {
+// zipfShares returns the probabilities of n ranks in a Zipf distribution.
+func zipfShares(n int) []float64 {
 	shares := make([]float64, n)
 	total := 0.0
 	for i := range shares {
@@ -106,38 +107,39 @@
 	return shares
 }
 
-// Next returns the next arrival, and false after the plan's end.
+// Next returns the next arrival, or false after the end of the plan.
 func (g *Generator) Next() (Request, bool) {
 	generation := g.deployment.Rate * float64(g.deployment.Engines)
 	application := g.deployment.ApplicationRate * float64(g.deployment.Workers)
 	rate := (generation + application) * g.plan.Demand
 	peak := rate * g.deployment.Surge
-	// Thinning: candidates come at the peak rate, and outside the surge only
-	// their share is kept.
+	// Thinning: candidates arrive at the peak rate, and those outside the surge are accepted with
+	// probability 1/Surge.
 	for {
-		g.at += time.Duration(g.random.ExpFloat64() / peak * float64(time.Second))
+		g.at += time.Duration(g.rng.ExpFloat64() / peak * float64(time.Second))
 		if g.at >= g.plan.End {
 			return Request{}, false
 		}
-		if g.plan.Phase(g.at) == Surge || g.random.Float64() < 1/g.deployment.Surge {
+		if g.plan.Phase(g.at) == Surge || g.rng.Float64() < 1/g.deployment.Surge {
 			break
 		}
 	}
 	g.number++
 	r := Request{Number: g.number, At: g.at, Phase: g.plan.Phase(g.at)}
 	r.Tenant = g.tenant()
-	r.Application = g.random.Float64() < application/(generation+application)
+	r.Application = g.rng.Float64() < application/(generation+application)
 	if r.Application {
-		r.Kind = pick(g.random, g.deployment.Application)
+		r.Kind = pick(g.rng, g.deployment.Application)
 		return r, true
 	}
-	r.Kind = pick(g.random, g.deployment.Generation)
+	r.Kind = pick(g.rng, g.deployment.Generation)
 	r.Document = g.document(r.Kind)
 	return r, true
 }
 
+// tenant draws a tenant by its share.
 func (g *Generator) tenant() string {
-	x := g.random.Float64()
+	x := g.rng.Float64()
 	for _, t := range g.deployment.Tenants {
 		if x -= t.Share; x < 0 {
 			return t.Name
@@ -146,8 +148,9 @@
 	return g.deployment.Tenants[0].Name
 }
 
-func pick(random *rand.Rand, kinds []deployment.Kind) deployment.Kind {
-	x := random.Float64()
+// pick draws a kind by its share.
+func pick(rng *rand.Rand, kinds []deployment.Kind) deployment.Kind {
+	x := rng.Float64()
 	for _, kind := range kinds {
 		if x -= kind.Share; x < 0 {
 			return kind
@@ -156,10 +159,10 @@
 	return kinds[len(kinds)-1]
 }
 
-// document draws a document by popularity. After the shift the ranks are turned
-// by half, so that cold documents are hot and hot ones cold.
+// document draws a document by popularity. After ShiftAt the ranks are rotated by half the number of
+// documents, so that other documents are hot.
 func (g *Generator) document(kind deployment.Kind) int {
-	x := g.random.Float64()
+	x := g.rng.Float64()
 	rank := 0
 	for i, share := range g.popularity[kind.Name] {
 		rank = i
@@ -173,13 +176,13 @@
 	return rank
 }
 
-// segment is a run of blocks of one source text.
+// segment is a part of a prompt.
 type segment struct {
 	name   string
 	tokens int
 }
 
-// DocumentName names a shared text.
+// DocumentName returns the name of a shared document, for Passage.
 func DocumentName(kind string, document int) string {
 	return kind + "-document-" + strconv.Itoa(document)
 }
@@ -193,7 +196,7 @@
 	}
 }
 
-// Text returns the prompt.
+// Text returns the text of the prompt.
 func (r Request) Text() string {
 	var text strings.Builder
 	for _, s := range r.segments() {
@@ -202,7 +205,7 @@
 	return text.String()
 }
 
-// Passage returns the text of a segment. Equal names give equal texts.
+// Passage returns the text of the named segment. Equal names give texts with the same prefix.
 func Passage(name string, tokens int) string {
 	var text strings.Builder
 	size := tokens * prefix.BytesPerToken
@@ -212,8 +215,8 @@
 	return text.String()[:size]
 }
 
-// Chain returns the prompt's block digests and its length, without making the
-// text. The document's blocks are shared between tenants when shared is set.
+// Chain returns the prompt's block digests and its length in tokens without generating the text. The
+// blocks of the document are shared between tenants if shared is set.
 func (r Request) Chain(shared bool) (chain prefix.Chain, tokens int) {
 	previous := xxhash.Sum64String("document")
 	if !shared {
