--- a/internal/virtualtime/virtualtime.go
+++ b/internal/virtualtime/virtualtime.go
@@ -1,6 +1,5 @@
-// Package virtualtime runs events in the order of a clock that costs no time.
-// Events of equal times run in the order in which they were planned, so equal
-// plans give equal runs.
+// Package virtualtime is a deterministic event queue with a virtual clock. Events at the same time
+// run in the order in which they were scheduled.
 package virtualtime
 
 import (
@@ -8,37 +7,36 @@
 	"time"
 )
 
-// Queue is planned events and the present time. It is not safe for concurrent
-// use.
+// Queue holds scheduled events and the current virtual time. It is not safe for concurrent use.
 type Queue struct {
-	now    time.Duration
-	number uint64
-	events eventHeap
+	now      time.Duration
+	sequence uint64
+	events   eventHeap
 }
 
 type event struct {
-	at     time.Duration
-	number uint64
-	run    func()
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
-// Now returns the present time.
+// Now returns the current virtual time.
 func (q *Queue) Now() time.Duration { return q.now }
 
-// Planned returns how many events were ever planned.
-func (q *Queue) Planned() uint64 { return q.number }
+// Planned returns the total number of events scheduled so far.
+func (q *Queue) Planned() uint64 { return q.sequence }
 
-// At plans an event. A time in the past means now.
+// At schedules run at a time, or now if that is in the past.
 func (q *Queue) At(when time.Duration, run func()) {
-	q.number++
-	heap.Push(&q.events, event{at: max(when, q.now), number: q.number, run: run})
+	q.sequence++
+	heap.Push(&q.events, event{at: max(when, q.now), sequence: q.sequence, run: run})
 }
 
-// After plans an event some time from now.
+// After schedules run after a delay.
 func (q *Queue) After(delay time.Duration, run func()) { q.At(q.now+delay, run) }
 
-// Step runs the next event, unless it comes after the end. It returns false
-// when there was none to run.
+// Step advances the clock to the next event and runs it, unless it is after end. It reports whether
+// an event was run.
 func (q *Queue) Step(end time.Duration) bool {
 	if len(q.events) == 0 || q.events[0].at > end {
 		return false
@@ -58,7 +56,7 @@
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].number < h[j].number
+	return h[i].sequence < h[j].sequence
 }
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
