--- a/cmd/rehearse/faults.go
+++ b/cmd/rehearse/faults.go
@@ -21,8 +21,8 @@
 		faulty, cancel := context.WithTimeout(ctx, time.Duration(c.Seconds)*time.Second-quietEnd)
 		defer cancel()
 		counts := make(chan map[string]int, 1)
-		go func() { counts <- f.Inject(faulty, c.Seed) }()
-		driven := f.Drive(ctx)
+		go func() { counts <- f.InjectFaults(faulty, c.Seed) }()
+		driven := f.RunCallers(ctx)
 		cancel()
 		brought.FaultCounts = <-counts
 		for _, count := range brought.FaultCounts {
--- a/cmd/rehearse/fleet.go
+++ b/cmd/rehearse/fleet.go
@@ -59,7 +59,7 @@
 	}
 	length := time.Duration(c.Seconds) * time.Second
 	plan := workload.Plan{SurgeStart: length / 3, SurgeEnd: 2 * length / 3, ShiftAt: length / 2, End: length, Demand: c.Demand}
-	return fleet.Config{Deployment: d, Quinceridge: c.Binary, Rehearse: self, Folder: folder, Network: c.Network,
+	return fleet.Config{Deployment: d, QuinceridgeBinary: c.Binary, RehearseBinary: self, Folder: folder, Network: c.Network,
 		Plan: plan, Seed: c.Seed, Progress: os.Stdout}, remove, nil
 }
 
@@ -116,7 +116,7 @@
 	if err := c.report(summary); err != nil {
 		return err
 	}
-	if !summary.Sound() {
+	if !summary.Passed() {
 		return errors.Wrapf(errUnsound, "logs and data are in %s", config.Folder)
 	}
 	remove()
@@ -129,5 +129,5 @@
 
 // Run implements the command.
 func (c *fleetCommand) Run(ctx context.Context) error {
-	return c.rehearse(ctx, func(f *fleet.Fleet, _ *fleet.Summary) error { return f.Drive(ctx) })
+	return c.rehearse(ctx, func(f *fleet.Fleet, _ *fleet.Summary) error { return f.RunCallers(ctx) })
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -37,9 +37,9 @@
 	for _, name := range deployment.Names() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			ours, bound := simulate(t, name, "shift", Affinity, 1), simulate(t, name, "shift", AllKnowing, 1)
+			ours, bound := simulate(t, name, "shift", Affinity, 1), simulate(t, name, "shift", Oracle, 1)
 			assert.Assert(t, ours.HitRate > bound.HitRate-0.02, "hit rate %v, bound %v", ours.HitRate, bound.HitRate)
-			assert.Assert(t, ours.Wasted < 0.02, "wasted %v", ours.Wasted)
+			assert.Assert(t, ours.WastedRatio < 0.02, "wasted %v", ours.WastedRatio)
 		})
 	}
 }
--- a/internal/experiment/metrics.go
+++ b/internal/experiment/metrics.go
@@ -15,8 +15,8 @@
 	Refused  int `json:"refused"`
 	// HitRate is the share of prompt tokens that were cached, and Wasted the
 	// share that was computed although a live engine held them.
-	HitRate float64 `json:"hit_rate"`
-	Wasted  float64 `json:"wasted_ratio"`
+	HitRate     float64 `json:"hit_rate"`
+	WastedRatio float64 `json:"wasted_ratio"`
 	// SurgeHitRate counts the surge only.
 	SurgeHitRate float64 `json:"surge_hit_rate"`
 	SteadyP50    float64 `json:"ttft_p50_steady"`
@@ -28,10 +28,10 @@
 	// Goodput is the answers a second during the surge whose first token came
 	// within their class's limit. TopGoodput counts the highest class alone, as
 	// a share of its requests.
-	Goodput    float64 `json:"goodput"`
-	TopInTime  float64 `json:"top_class_in_time"`
-	Recovery   float64 `json:"recovery_seconds"`
-	Placements uint64  `json:"placements"`
+	Goodput         float64 `json:"goodput"`
+	TopClassInTime  float64 `json:"top_class_in_time"`
+	RecoverySeconds float64 `json:"recovery_seconds"`
+	Placements      uint64  `json:"placements"`
 	// BlockChanges counts blocks that entered or left a cache, HeadChanges those
 	// among them that are published.
 	BlockChanges int `json:"block_changes"`
@@ -132,14 +132,14 @@
 func (m *metrics) result(placements uint64) *Result {
 	r := &m.figures
 	r.HitRate, r.SurgeHitRate = m.all.hitRate(), m.surge.hitRate()
-	r.Wasted = float64(m.all.wasted) / float64(max(m.all.prompt, 1))
+	r.WastedRatio = float64(m.all.wasted) / float64(max(m.all.prompt, 1))
 	r.SteadyP50, r.SteadyP95, r.SteadyP99 = m.steady.Seconds(50), m.steady.Seconds(95), m.steady.Seconds(99)
 	r.SurgeP50, r.SurgeP95, r.SurgeP99 = m.inSurge.Seconds(50), m.inSurge.Seconds(95), m.inSurge.Seconds(99)
 	r.Goodput = float64(m.inTime) / (surgeEnd - surgeStart).Seconds()
-	r.TopInTime = float64(m.topTime) / float64(max(m.topTotal, 1))
+	r.TopClassInTime = float64(m.topTime) / float64(max(m.topTotal, 1))
 	r.Placements = placements
 	r.Timeline = m.timeline()
-	r.Recovery = m.recovery(r)
+	r.RecoverySeconds = m.recovery(r)
 	figures := *r // a pointer into m would keep its histograms
 	return &figures
 }
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -15,11 +15,11 @@
 	LeastLoad  = "least-load"
 	Hash       = "hash"
 	Affinity   = "affinity"
-	AllKnowing = "all-knowing"
+	Oracle     = "all-knowing"
 )
 
 // Policies lists all policies in the order of reports.
-func Policies() []string { return []string{RoundRobin, LeastLoad, Hash, Affinity, AllKnowing} }
+func Policies() []string { return []string{RoundRobin, LeastLoad, Hash, Affinity, Oracle} }
 
 // newPolicy returns the policy of one router.
 func (s *simulation) newPolicy(router int) (scheduling.Policy, error) {
@@ -34,7 +34,7 @@
 		config := s.options.Affinity
 		config.Routers = len(s.routers)
 		return scheduling.NewAffinity(config), nil
-	case AllKnowing:
+	case Oracle:
 		return &allKnowing{simulation: s}, nil
 	}
 	return nil, errors.Newf("no such policy: %q; known: %v", s.options.Policy, Policies())
@@ -48,7 +48,7 @@
 // gave the bound with the best tails.
 const allKnowingPenalty = 3
 
-func (*allKnowing) Name() string { return AllKnowing }
+func (*allKnowing) Name() string { return Oracle }
 
 // Pick implements scheduling.Policy.
 func (a *allKnowing) Pick(_ time.Duration, r *scheduling.Request, _ *scheduling.Snapshot) (scheduling.Decision, error) {
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -22,7 +22,7 @@
 )
 
 // Report writes a page with the table and the plots into a folder.
-func (f *Figures) Report(folder string) error {
+func (f *StudyResult) Report(folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return errors.Wrap(err, "create report folder")
 	}
@@ -37,13 +37,13 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(&page, "## %s\n\nThe scenario: %s.\n\n![95th percentile of the time to first token, by second](%s)\n\n", scenario, conditions.About, name)
+		fmt.Fprintf(&page, "## %s\n\nThe scenario: %s.\n\n![95th percentile of the time to first token, by second](%s)\n\n", scenario, conditions.Description, name)
 	}
 	path := filepath.Join(folder, f.Deployment+".md")
 	return errors.Wrap(os.WriteFile(path, []byte(page.String()), reportMode), "write report")
 }
 
-func (f *Figures) scenarios() []string {
+func (f *StudyResult) scenarios() []string {
 	var names []string
 	for _, row := range f.Rows {
 		if len(names) == 0 || names[len(names)-1] != row.Scenario {
@@ -57,7 +57,7 @@
 const shortestShown = 0.001
 
 // plotTimeline draws the tail of each policy over the run of the first seed.
-func (f *Figures) plotTimeline(scenario, path string) error {
+func (f *StudyResult) plotTimeline(scenario, path string) error {
 	p := plot.New()
 	p.Title.Text = f.Deployment + ", " + scenario + ": p95 time to first token by second, first seed"
 	p.X.Label.Text = "time (s)"
@@ -80,7 +80,7 @@
 	return errors.Wrap(p.Save(plotWidth, plotHeight, path), "save plot")
 }
 
-func (f *Figures) rowsOf(scenario string) []*Row {
+func (f *StudyResult) rowsOf(scenario string) []*Row {
 	var rows []*Row
 	for _, row := range f.Rows {
 		if row.Scenario == scenario {
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -24,9 +24,9 @@
 // Conditions are what a scenario brings about.
 type Conditions struct {
 	Name string
-	// About says it in a sentence, for reports.
-	About string
-	Plan  workload.Plan
+	// Description says it in a sentence, for reports.
+	Description string
+	Plan        workload.Plan
 	// ReportLag is the age of load reports when routers get them, and
 	// ReportLoss the share that never comes.
 	ReportLag  time.Duration
@@ -39,8 +39,8 @@
 	HintLoss float64
 	// Crashes is how many of ten engines crash in turn during the surge.
 	Crashes int
-	// HerdAt is when all routers restart. Zero means never.
-	HerdAt time.Duration
+	// RestartRoutersAt is when all routers restart. Zero means never.
+	RestartRoutersAt time.Duration
 	// ZoneLostAt is when a zone's engines are gone for good.
 	ZoneLostAt time.Duration
 	// Admission refuses early. Without it everything is queued, so that the
@@ -61,14 +61,14 @@
 
 // scenarios lists all scenarios in the order of reports.
 var scenarios = []Conditions{
-	{Name: "steady", About: "no surge", Plan: workload.Plan{End: runEnd}, ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss},
-	{Name: "surge", About: "three times the steady rate for 20 s", Plan: plan(0, 1), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss},
-	{Name: "shift", About: "the surge, and other documents become hot in its middle", Plan: plan(middle, 1), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss},
-	{Name: "herd", About: "the surge, and all routers restart in its middle", Plan: plan(0, 1), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss, HerdAt: middle},
-	{Name: "crash", About: "the surge, and three of ten engines crash in turn and come back empty after 2 s", Plan: plan(0, 1), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss, Crashes: 3},
-	{Name: "lag", About: "the shift, with load reports 2 s late and a third of reports and answers' hints lost", Plan: plan(middle, 1), ReportLag: 2 * time.Second, ReportLoss: 0.33, EventLag: 5 * time.Second, EventLoss: 0.33, HintLoss: 0.33},
-	{Name: "overload", About: "the surge at twice its rate, with early refusal", Plan: plan(0, 2), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss, Admission: true},
-	{Name: "zone-loss", About: "the surge, and one zone is gone from its middle on", Plan: plan(0, 1), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss, ZoneLostAt: middle},
+	{Name: "steady", Description: "no surge", Plan: workload.Plan{End: runEnd}, ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss},
+	{Name: "surge", Description: "three times the steady rate for 20 s", Plan: plan(0, 1), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss},
+	{Name: "shift", Description: "the surge, and other documents become hot in its middle", Plan: plan(middle, 1), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss},
+	{Name: "herd", Description: "the surge, and all routers restart in its middle", Plan: plan(0, 1), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss, RestartRoutersAt: middle},
+	{Name: "crash", Description: "the surge, and three of ten engines crash in turn and come back empty after 2 s", Plan: plan(0, 1), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss, Crashes: 3},
+	{Name: "lag", Description: "the shift, with load reports 2 s late and a third of reports and answers' hints lost", Plan: plan(middle, 1), ReportLag: 2 * time.Second, ReportLoss: 0.33, EventLag: 5 * time.Second, EventLoss: 0.33, HintLoss: 0.33},
+	{Name: "overload", Description: "the surge at twice its rate, with early refusal", Plan: plan(0, 2), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss, Admission: true},
+	{Name: "zone-loss", Description: "the surge, and one zone is gone from its middle on", Plan: plan(0, 1), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss, ZoneLostAt: middle},
 }
 
 // Scenarios lists the names of the scenarios.
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -140,8 +140,8 @@
 
 func (s *simulation) scheduleFaults() {
 	c := s.options.Conditions
-	if c.HerdAt > 0 {
-		s.queue.At(c.HerdAt, s.restartRouters)
+	if c.RestartRoutersAt > 0 {
+		s.queue.At(c.RestartRoutersAt, s.restartRouters)
 	}
 	if c.ZoneLostAt > 0 {
 		s.queue.At(c.ZoneLostAt, func() {
--- a/internal/experiment/study.go
+++ b/internal/experiment/study.go
@@ -36,15 +36,15 @@
 
 // Row is the figures of one policy in one scenario: the mean over the seeds.
 type Row struct {
-	Scenario string    `json:"scenario"`
-	Policy   string    `json:"policy"`
-	Mean     Result    `json:"mean"`
-	Worst    float64   `json:"worst_ttft_p99_surge"`
-	Runs     []*Result `json:"runs"`
+	Scenario      string    `json:"scenario"`
+	Policy        string    `json:"policy"`
+	Mean          Result    `json:"mean"`
+	WorstSurgeP99 float64   `json:"worst_ttft_p99_surge"`
+	Runs          []*Result `json:"runs"`
 }
 
-// Figures is the outcome of a study.
-type Figures struct {
+// StudyResult is the outcome of a study.
+type StudyResult struct {
 	Deployment string `json:"deployment"`
 	Engines    int    `json:"engines"`
 	Routers    int    `json:"routers"`
@@ -54,7 +54,7 @@
 }
 
 // Run makes all runs of a study, several at once.
-func Run(ctx context.Context, study Study) (*Figures, error) {
+func Run(ctx context.Context, study Study) (*StudyResult, error) {
 	names, policies := Scenarios(), Policies()
 	if study.Scenario != all {
 		names = []string{study.Scenario}
@@ -62,7 +62,7 @@
 	if study.Policy != all {
 		policies = []string{study.Policy}
 	}
-	figures := &Figures{Deployment: study.Deployment.Name, Engines: study.Deployment.Engines, Routers: study.Deployment.Routers,
+	figures := &StudyResult{Deployment: study.Deployment.Name, Engines: study.Deployment.Engines, Routers: study.Deployment.Routers,
 		Seed: study.Seed, Seeds: study.Seeds}
 	var jobs []job
 	for _, name := range names {
@@ -113,8 +113,8 @@
 
 // fields are the figures that a mean is made of.
 func (r *Result) fields() []*float64 {
-	return []*float64{&r.HitRate, &r.Wasted, &r.SurgeHitRate, &r.SteadyP50, &r.SteadyP95, &r.SteadyP99, &r.SurgeP50, &r.SurgeP95,
-		&r.SurgeP99, &r.Goodput, &r.TopInTime, &r.Recovery}
+	return []*float64{&r.HitRate, &r.WastedRatio, &r.SurgeHitRate, &r.SteadyP50, &r.SteadyP95, &r.SteadyP99, &r.SurgeP50, &r.SurgeP95,
+		&r.SurgeP99, &r.Goodput, &r.TopClassInTime, &r.RecoverySeconds}
 }
 
 func (row *Row) summarize() {
@@ -128,13 +128,13 @@
 		row.Mean.Refused += run.Refused
 		row.Mean.BlockChanges += run.BlockChanges
 		row.Mean.HeadChanges += run.HeadChanges
-		row.Worst = max(row.Worst, run.SurgeP99)
+		row.WorstSurgeP99 = max(row.WorstSurgeP99, run.SurgeP99)
 	}
 	row.Mean.Timeline = row.Runs[0].Timeline
 }
 
 // Runs counts the runs.
-func (f *Figures) Runs() int {
+func (f *StudyResult) Runs() int {
 	n := 0
 	for _, row := range f.Rows {
 		n += len(row.Runs)
@@ -143,7 +143,7 @@
 }
 
 // Table returns the figures as a Markdown table.
-func (f *Figures) Table() string {
+func (f *StudyResult) Table() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s: %d engines, %d routers, mean over %d seeds from %d. First-token times in seconds.\n\n", f.Deployment, f.Engines, f.Routers, f.Seeds, f.Seed)
 	out.WriteString("| scenario | policy | hit rate | surge hit rate | wasted | steady p99 | surge p50 | surge p95 | surge p99 | worst p99 | goodput/s | top class in time | recovery s | refused |\n")
@@ -151,7 +151,7 @@
 	for _, row := range f.Rows {
 		m := row.Mean
 		fmt.Fprintf(&out, "| %s | %s | %.3f | %.3f | %.4f | %.3f | %.3f | %.3f | %.3f | %.3f | %.1f | %.3f | %.1f | %.3f |\n", row.Scenario, row.Policy,
-			m.HitRate, m.SurgeHitRate, m.Wasted, m.SteadyP99, m.SurgeP50, m.SurgeP95, m.SurgeP99, row.Worst, m.Goodput, m.TopInTime, m.Recovery,
+			m.HitRate, m.SurgeHitRate, m.WastedRatio, m.SteadyP99, m.SurgeP50, m.SurgeP95, m.SurgeP99, row.WorstSurgeP99, m.Goodput, m.TopClassInTime, m.RecoverySeconds,
 			float64(m.Refused)/float64(max(m.Requests, 1)))
 	}
 	return out.String()
--- a/internal/fleet/faults.go
+++ b/internal/fleet/faults.go
@@ -72,9 +72,9 @@
 	{"load new weights", 2, (*injector).load},
 }
 
-// Inject brings faults about until the context ends, then waits until all
+// InjectFaults brings faults about until the context ends, then waits until all
 // processes run again. It returns how many there were of each kind.
-func (f *Fleet) Inject(ctx context.Context, seed uint64) map[string]int {
+func (f *Fleet) InjectFaults(ctx context.Context, seed uint64) map[string]int {
 	i := &injector{fleet: f, random: rand.New(rand.NewPCG(seed, 5)), counts: map[string]int{}, busy: map[string]bool{}}
 	total := 0
 	for _, fault := range processFaults {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -39,9 +39,9 @@
 // Config says what fleet to start.
 type Config struct {
 	Deployment deployment.Deployment
-	// Quinceridge and Rehearse are the programs to run.
-	Quinceridge string
-	Rehearse    string
+	// QuinceridgeBinary and RehearseBinary are the paths of the programs to run.
+	QuinceridgeBinary string
+	RehearseBinary    string
 	// Folder keeps settings, data, logs and results.
 	Folder string
 	// Network is the second number of all addresses.
@@ -125,7 +125,7 @@
 func (f *Fleet) startStores(ctx context.Context) error {
 	stores := []struct{ name, address string }{{"platform", f.layout.platform()}, {"weightstore", f.layout.weights()}, {"kvstore", f.layout.kv()}}
 	for _, s := range stores {
-		if err := f.run(s.name, f.config.Rehearse, s.name, "--listen", s.address); err != nil {
+		if err := f.run(s.name, f.config.RehearseBinary, s.name, "--listen", s.address); err != nil {
 			return err
 		}
 	}
@@ -136,7 +136,7 @@
 	d := f.config.Deployment
 	for i := range d.Engines {
 		name := engineName(i)
-		err := f.run(name, f.config.Rehearse, "engine", "--id", name, "--listen", f.layout.engine(i), "--folder", f.layout.data(name),
+		err := f.run(name, f.config.RehearseBinary, "engine", "--id", name, "--listen", f.layout.engine(i), "--folder", f.layout.data(name),
 			"--model", d.Model, "--weight-store", f.layout.weights(), "--kv-store", f.layout.kv())
 		if err != nil {
 			return err
@@ -155,7 +155,7 @@
 func (f *Fleet) startWorkers(ctx context.Context) error {
 	for i := range f.config.Deployment.Workers {
 		name := workerName(i)
-		if err := f.run(name, f.config.Rehearse, "appworker", "--id", name, "--listen", f.layout.worker(i), "--folder", f.layout.data(name)); err != nil {
+		if err := f.run(name, f.config.RehearseBinary, "appworker", "--id", name, "--listen", f.layout.worker(i), "--folder", f.layout.data(name)); err != nil {
 			return err
 		}
 		machine := platformapi.Machine{ID: name, Role: "application", Address: f.layout.worker(i), Region: f.config.Deployment.Region, Zone: f.config.Deployment.Zone(i)}
@@ -172,7 +172,7 @@
 		if err != nil {
 			return err
 		}
-		if err := f.run(controlName(i), f.config.Quinceridge, "control", "run", "--config", path); err != nil {
+		if err := f.run(controlName(i), f.config.QuinceridgeBinary, "control", "run", "--config", path); err != nil {
 			return err
 		}
 	}
@@ -190,7 +190,7 @@
 		if err != nil {
 			return err
 		}
-		if err := f.run(routerName(i), f.config.Quinceridge, "router", "--config", path); err != nil {
+		if err := f.run(routerName(i), f.config.QuinceridgeBinary, "router", "--config", path); err != nil {
 			return err
 		}
 	}
@@ -227,19 +227,19 @@
 // operator runs an operator's command.
 func (f *Fleet) operator(ctx context.Context, args ...string) (string, error) {
 	args = append(args, "--control", strings.Join(f.layout.controlAddresses(), ","))
-	out, err := exec.CommandContext(ctx, f.config.Quinceridge, args...).CombinedOutput()
+	out, err := exec.CommandContext(ctx, f.config.QuinceridgeBinary, args...).CombinedOutput()
 	return string(out), errors.Wrap(err, "run operator's command")
 }
 
-// Drive runs the callers to their end. Their lines go to the progress writer.
-func (f *Fleet) Drive(ctx context.Context) error {
+// RunCallers runs the callers to their end. Their lines go to the progress writer.
+func (f *Fleet) RunCallers(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, f.config.Plan.End+callersLimit)
 	defer cancel()
 	plan, err := json.Marshal(f.config.Plan)
 	if err != nil {
 		return errors.Wrap(err, "encode plan")
 	}
-	command := exec.CommandContext(ctx, f.config.Rehearse, "callers", "--deployment", f.config.Deployment.Name,
+	command := exec.CommandContext(ctx, f.config.RehearseBinary, "callers", "--deployment", f.config.Deployment.Name,
 		"--plan", string(plan), "--seed", fmt.Sprint(f.config.Seed), "--router", strings.Join(f.layout.routerAddresses(), ","),
 		"--json", f.callersFile())
 	command.Stdout, command.Stderr = f.config.Progress, f.config.Progress
--- a/internal/fleet/summary.go
+++ b/internal/fleet/summary.go
@@ -49,8 +49,8 @@
 	FaultCounts map[string]int             `json:"fault_counts,omitempty"`
 }
 
-// Sound tells whether every promise about answers was kept.
-func (s *Summary) Sound() bool {
+// Passed tells whether every promise about answers was kept.
+func (s *Summary) Passed() bool {
 	return s.Lost == 0 && s.IncompleteStreams == 0 && s.Wrong == 0 && s.DoubleRuns == 0 && s.FalseNotRun == 0 && s.LateWork == 0 && len(s.Stuck) == 0
 }
 
