--- a/cmd/quinceridge/bundle.go
+++ b/cmd/quinceridge/bundle.go
@@ -25,14 +25,15 @@
 	History  bundleHistoryCommand  `cmd:"" help:"List the accepted bundles."`
 }
 
-// operator is who signs.
-type operator struct {
+// signer holds the flags of the commands that sign a bundle.
+type signer struct {
 	Operator  string `required:"" help:"Your operator name, as in the bundle." placeholder:"NAME"`
 	Key       string `required:"" type:"existingfile" help:"File with your private key." placeholder:"FILE"`
 	RequestID string `help:"Name of this request. Use the name of a lost one to learn its answer." placeholder:"ID"`
 }
 
-func (o *operator) sign(digest string) (state.Signature, error) {
+// sign signs a bundle's digest with the operator's private key.
+func (o *signer) sign(digest string) (state.Signature, error) {
 	key, err := os.ReadFile(o.Key)
 	if err != nil {
 		return state.Signature{}, errors.Wrap(err, "read key")
@@ -41,7 +42,8 @@
 	return state.Signature{Operator: o.Operator, Signature: signature}, err
 }
 
-func (o *operator) name() string {
+// requestID returns the request's ID and generates one if the operator gave none.
+func (o *signer) requestID() string {
 	if o.RequestID == "" {
 		o.RequestID = newRequestID()
 	}
@@ -58,17 +60,18 @@
 	File string `arg:"" help:"Bundle file (docs/BUNDLE.md)."`
 }
 
-// Run implements the command.
+// Run validates the bundle file and prints its digest.
 func (c *bundleCheckCommand) Run() error {
-	_, digest, err := load(c.File)
+	_, digest, err := loadBundle(c.File)
 	if err != nil {
 		return err
 	}
-	fmt.Println("the bundle is sound; digest", digest)
+	fmt.Println("the bundle is valid; digest", digest)
 	return nil
 }
 
-func load(file string) (canonical []byte, digest string, err error) {
+// loadBundle reads a bundle file and returns its canonical encoding and its digest.
+func loadBundle(file string) (canonical []byte, digest string, err error) {
 	b, err := bundle.Load(file)
 	if err != nil {
 		return nil, "", err
@@ -81,15 +84,15 @@
 }
 
 type bundleProposeCommand struct {
-	target   `embed:""`
-	operator `embed:""`
-	File     string `arg:"" help:"Bundle file (docs/BUNDLE.md)."`
-	Wait     bool   `help:"Wait until the bundle is in force in every place."`
+	target `embed:""`
+	signer `embed:""`
+	File   string `arg:"" help:"Bundle file (docs/BUNDLE.md)."`
+	Wait   bool   `help:"Wait until the bundle is in force in every place."`
 }
 
-// Run implements the command.
+// Run signs and proposes the bundle, and with --wait follows its rollout.
 func (c *bundleProposeCommand) Run() error {
-	canonical, digest, err := load(c.File)
+	canonical, digest, err := loadBundle(c.File)
 	if err != nil {
 		return err
 	}
@@ -97,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	result, err := c.submit(state.Command{RequestID: c.name(), Propose: &state.Propose{Canonical: canonical, Signature: signature}})
+	result, err := c.submit(state.Command{RequestID: c.requestID(), Propose: &state.Propose{Canonical: canonical, Signature: signature}})
 	if err != nil {
 		return err
 	}
@@ -105,25 +108,26 @@
 	if !c.Wait || !result.Staged {
 		return nil
 	}
-	return c.await(digest)
+	return c.awaitRollout(digest)
 }
 
 func printResult(r state.Result) {
 	switch {
 	case r.Staged:
-		fmt.Printf("version %d (%s) is staged; routers take it now\n", r.Version, short(r.Digest))
+		fmt.Printf("version %d (%s) is staged; routers are applying it\n", r.Version, shortDigest(r.Digest))
 	case r.Message != "":
-		fmt.Printf("version %d (%s): %s\n", r.Version, short(r.Digest), r.Message)
+		fmt.Printf("version %d (%s): %s\n", r.Version, shortDigest(r.Digest), r.Message)
 	default:
-		fmt.Printf("version %d (%s): %s\n", r.Version, short(r.Digest), r.Code)
+		fmt.Printf("version %d (%s): %s\n", r.Version, shortDigest(r.Digest), r.Code)
 	}
 }
 
-// awaitPause is the time between two looks at a rollout.
-const awaitPause = 100 * time.Millisecond
+// rolloutPollInterval is the time between two status requests during a rollout.
+const rolloutPollInterval = 100 * time.Millisecond
 
-// await follows a rollout to its end.
-func (t *target) await(digest string) error {
+// awaitRollout waits until the bundle is in force on every router that holds a lease. It fails
+// when the timeout passes first.
+func (t *target) awaitRollout(digest string) error {
 	started := time.Now()
 	for time.Since(started) < t.Timeout {
 		status, err := t.status(controlapi.StatusRequest{})
@@ -135,28 +139,28 @@
 				}
 			}
 			if behind == 0 {
-				fmt.Printf("in force in every place after %.1f s\n", time.Since(started).Seconds())
+				fmt.Printf("in force on every router with a lease after %.1f s\n", time.Since(started).Seconds())
 				return nil
 			}
 		}
-		time.Sleep(awaitPause)
+		time.Sleep(rolloutPollInterval)
 	}
-	return errors.New("the bundle is not in force in every place yet; see bundle status")
+	return errors.New("timed out before the bundle was in force on every router; see bundle status")
 }
 
 type bundleApproveCommand struct {
-	target   `embed:""`
-	operator `embed:""`
-	Digest   string `arg:"" help:"Digest of the waiting bundle, as shown by bundle status."`
+	target `embed:""`
+	signer `embed:""`
+	Digest string `arg:"" help:"Digest of the waiting bundle, as shown by bundle status."`
 }
 
-// Run implements the command.
+// Run adds a signature to the pending bundle.
 func (c *bundleApproveCommand) Run() error {
 	signature, err := c.sign(c.Digest)
 	if err != nil {
 		return err
 	}
-	result, err := c.submit(state.Command{RequestID: c.name(), Approve: &state.Approve{Digest: c.Digest, Signature: signature}})
+	result, err := c.submit(state.Command{RequestID: c.requestID(), Approve: &state.Approve{Digest: c.Digest, Signature: signature}})
 	if err != nil {
 		return err
 	}
@@ -170,7 +174,7 @@
 	RequestID string `help:"Name of this request." placeholder:"ID"`
 }
 
-// Run implements the command.
+// Run withdraws the pending bundle.
 func (c *bundleWithdrawCommand) Run() error {
 	if c.RequestID == "" {
 		c.RequestID = newRequestID()
@@ -188,7 +192,7 @@
 	JSON   bool `help:"Print JSON."`
 }
 
-// Run implements the command.
+// Run prints the accepted bundle, the pending one and the version on each router.
 func (c *bundleStatusCommand) Run() error {
 	status, err := c.status(controlapi.StatusRequest{})
 	if err != nil {
@@ -203,7 +207,7 @@
 		fmt.Printf("  signed by: %s; staged: %v\n", strings.Join(status.Signed, ", "), status.Staged)
 	}
 	if !status.HoldsLease {
-		fmt.Println("no leader answers; places are not known")
+		fmt.Println("no leader responded; the state of the routers is unknown")
 	}
 	for _, place := range status.Places {
 		fmt.Printf("  %-24s %-20s leased=%-5v version=%d heard=%.1fs\n", place.Router.Name, place.Router.Zone, place.Leased, place.InForce.Version, place.Heard)
@@ -216,9 +220,9 @@
 	File   string `arg:"" help:"Bundle file."`
 }
 
-// Run implements the command.
+// Run prints the merge patch from the accepted bundle to the file.
 func (c *bundleDiffCommand) Run() error {
-	canonical, _, err := load(c.File)
+	canonical, _, err := loadBundle(c.File)
 	if err != nil {
 		return err
 	}
@@ -243,7 +247,7 @@
 	JSON   bool `help:"Print JSON."`
 }
 
-// Run implements the command.
+// Run prints the accepted bundles.
 func (c *bundleHistoryCommand) Run() error {
 	status, err := c.status(controlapi.StatusRequest{})
 	if err != nil {
@@ -254,7 +258,7 @@
 	}
 	for _, v := range status.History {
 		at := time.UnixMilli(v.At).UTC().Format(time.RFC3339)
-		fmt.Printf("%d  %s  %s  signed by %s\n", v.Version, at, short(v.Digest), strings.Join(v.Operators, ", "))
+		fmt.Printf("%d  %s  %s  signed by %s\n", v.Version, at, shortDigest(v.Digest), strings.Join(v.Operators, ", "))
 	}
 	return nil
 }
--- a/cmd/quinceridge/client.go
+++ b/cmd/quinceridge/client.go
@@ -15,19 +15,20 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// target says which control group a command talks to.
+// target holds the flags that select the control group of a command.
 type target struct {
 	Control []string      `required:"" env:"QUINCERIDGE_CONTROL" help:"Addresses of control nodes." placeholder:"ADDRESS"`
 	Timeout time.Duration `default:"10s" help:"How long to try."`
 }
 
-// connect returns a client and a context that ends with the timeout.
+// connect returns a client for the control group and a context with the command's timeout.
 func (t *target) connect() (*controlclient.Client, context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(context.Background(), t.Timeout)
 	return controlclient.New(peer.NewClient(&peer.Counters{}), t.Control), ctx, cancel
 }
 
-// status asks the leader, trying until the timeout.
+// status retries until a node that holds the lease replies. When the timeout passes first, it
+// returns the result of the last attempt, which may be the reply of a node without the lease.
 func (t *target) status(request controlapi.StatusRequest) (controlapi.StatusReply, error) {
 	client, ctx, cancel := t.connect()
 	defer cancel()
@@ -47,13 +48,14 @@
 	}
 }
 
-// submit runs an operator's command and explains its result.
+// submit sends an operator's command to the control group. It returns an error marked with
+// errRefused if the result's code is not CodeOK.
 func (t *target) submit(command state.Command) (state.Result, error) {
 	client, ctx, cancel := t.connect()
 	defer cancel()
 	result, err := client.SubmitNamed(ctx, command)
 	if err != nil {
-		return result, errors.Wrapf(err, "request %s; send it again with --request-id to learn its outcome", command.RequestID)
+		return result, errors.Wrapf(err, "no result for request %s; repeat it with --request-id to get its outcome", command.RequestID)
 	}
 	if result.Code != state.CodeOK {
 		return result, errors.Mark(errors.Newf("%s: %s", result.Code, result.Message), errRefused)
@@ -61,14 +63,14 @@
 	return result, nil
 }
 
-// printJSON writes a value for other programs.
+// printJSON writes a value to standard output as indented JSON.
 func printJSON(value any) error {
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
-	return errors.Wrap(encoder.Encode(value), "write")
+	return errors.Wrap(encoder.Encode(value), "write JSON output")
 }
 
-func short(digest string) string {
+func shortDigest(digest string) string {
 	if len(digest) > 12 {
 		return digest[:12]
 	}
--- a/cmd/quinceridge/control.go
+++ b/cmd/quinceridge/control.go
@@ -18,8 +18,8 @@
 	"quinceridge.example/quinceridge/internal/telemetry"
 )
 
-// stopLimit bounds the planned stop of a control node.
-const stopLimit = 5 * time.Second
+// controlStopTimeout bounds the graceful shutdown of a control node.
+const controlStopTimeout = 5 * time.Second
 
 type controlCommand struct {
 	Run   controlRunCommand   `cmd:"" default:"withargs" help:"Run a control node."`
@@ -31,7 +31,7 @@
 	CheckOnly bool   `name:"check" help:"Check the settings file and exit."`
 }
 
-// Run implements the command.
+// Run runs a control node until a stop signal or a failure of the node.
 func (c *controlRunCommand) Run() error {
 	var s settings.Control
 	if err := config.Load(c.Config, &s); err != nil {
@@ -39,7 +39,7 @@
 	}
 	s.SetDefaults()
 	if c.CheckOnly {
-		fmt.Println("the settings are sound")
+		fmt.Println("the settings are valid")
 		return nil
 	}
 	stopped := stopSignal()
@@ -53,9 +53,9 @@
 	select {
 	case <-stopped:
 	case <-node.Done():
-		return errors.Wrapf(errDisk, "%v", node.Failure())
+		return errors.Wrapf(errNodeFailed, "%v", node.Failure())
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), stopLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), controlStopTimeout)
 	defer cancel()
 	return node.Stop(ctx)
 }
@@ -64,7 +64,7 @@
 	Folder string `arg:"" help:"Data folder of a stopped control node."`
 }
 
-// Run implements the command.
+// Run prints what the data folder of a stopped node contains.
 func (c *controlCheckCommand) Run() error {
 	stored, torn, err := storage.Read(vfs.Default, c.Folder)
 	if err != nil {
@@ -84,7 +84,7 @@
 	}
 	fmt.Printf("snapshot at entry %d, state digest %s\n", stored.Snapshot.Index, digest)
 	if head := machine.Head(); head != nil {
-		fmt.Printf("bundle in force there: version %d, digest %s\n", head.Version, head.Digest)
+		fmt.Printf("bundle in force at that entry: version %d, digest %s\n", head.Version, head.Digest)
 	}
 	return nil
 }
--- a/cmd/quinceridge/deployment.go
+++ b/cmd/quinceridge/deployment.go
@@ -18,12 +18,12 @@
 	"quinceridge.example/quinceridge/internal/vocabulary"
 )
 
-// edgeCommand runs a router that keeps no disk.
+// edgeCommand runs a diskless router.
 type edgeCommand struct {
 	Config string `required:"" help:"Settings file (docs/SETTINGS.md)." placeholder:"FILE"`
 }
 
-// Run implements the command.
+// Run runs the router until a stop signal.
 func (c *edgeCommand) Run() error {
 	var s settings.DisklessRouter
 	if err := config.Load(c.Config, &s); err != nil {
@@ -49,10 +49,10 @@
 
 const (
 	coordinatorHeaderTimeout = 5 * time.Second
-	coordinatorStopLimit     = 4 * time.Second
+	coordinatorStopTimeout   = 4 * time.Second
 )
 
-// Run implements the command.
+// Run runs the coordinator and its HTTP server for operators until a stop signal.
 func (c *coordinatorCommand) Run() error {
 	var s settings.Coordinator
 	if err := config.Load(c.Config, &s); err != nil {
@@ -77,7 +77,7 @@
 	server := &http.Server{Handler: node.Handler(), ReadHeaderTimeout: coordinatorHeaderTimeout}
 	go func() { _ = server.Serve(listener) }()
 	<-stopped
-	ctx, cancel := context.WithTimeout(context.Background(), coordinatorStopLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), coordinatorStopTimeout)
 	defer cancel()
 	node.Stop(ctx)
 	return errors.Wrap(server.Shutdown(ctx), "stop")
--- a/cmd/quinceridge/fleet.go
+++ b/cmd/quinceridge/fleet.go
@@ -29,7 +29,7 @@
 	JSON   bool `help:"Print JSON."`
 }
 
-// Run implements the command.
+// Run prints the control nodes, routers and machines.
 func (c *fleetStatusCommand) Run() error {
 	status, err := c.status(controlapi.StatusRequest{Digest: true})
 	if err != nil {
@@ -63,7 +63,7 @@
 	Names  []string `arg:"" help:"Names of routers. You vouch that they are stopped and stay so."`
 }
 
-// Run implements the command.
+// Run removes the named routers.
 func (c *fleetRetireCommand) Run() error {
 	_, err := c.submit(state.Command{RequestID: newRequestID(), Retire: &state.Retire{Names: c.Names}})
 	return err
@@ -82,7 +82,7 @@
 	Address string `arg:"" help:"The machine's address for peers."`
 }
 
-// Run implements the command.
+// Run adds a learner.
 func (c *memberAddCommand) Run() error {
 	return c.change(raft.Change{Kind: raft.AddLearner, ID: c.ID, Address: c.Address})
 }
@@ -92,7 +92,7 @@
 	ID     uint64 `arg:"" help:"The learner's number."`
 }
 
-// Run implements the command.
+// Run makes a learner a voter.
 func (c *memberPromoteCommand) Run() error {
 	return c.change(raft.Change{Kind: raft.Promote, ID: c.ID})
 }
@@ -102,7 +102,7 @@
 	ID     uint64 `arg:"" help:"The machine's number."`
 }
 
-// Run implements the command.
+// Run removes a member.
 func (c *memberRemoveCommand) Run() error {
 	return c.change(raft.Change{Kind: raft.RemoveMember, ID: c.ID})
 }
@@ -110,10 +110,11 @@
 func (t *target) change(change raft.Change) error {
 	client, ctx, cancel := t.connect()
 	defer cancel()
-	return acknowledged(client.Change(ctx, controlapi.ChangeRequest{Change: change}))
+	return refusalError(client.Change(ctx, controlapi.ChangeRequest{Change: change}))
 }
 
-func acknowledged(reply controlapi.Acknowledgement, err error) error {
+// refusalError returns err, or an error marked with errRefused if the reply is a refusal.
+func refusalError(reply controlapi.Acknowledgement, err error) error {
 	if err == nil && !reply.OK {
 		err = errors.Mark(errors.New(reply.Message), errRefused)
 	}
@@ -125,11 +126,11 @@
 	ID     uint64 `arg:"" help:"The voter's number."`
 }
 
-// Run implements the command.
+// Run transfers leadership to a voter.
 func (c *memberLeadCommand) Run() error {
 	client, ctx, cancel := c.connect()
 	defer cancel()
-	return acknowledged(client.Transfer(ctx, controlapi.TransferRequest{To: c.ID}))
+	return refusalError(client.Transfer(ctx, controlapi.TransferRequest{To: c.ID}))
 }
 
 type keyCommand struct {
@@ -140,16 +141,16 @@
 	Out string `required:"" help:"New file for the private key." placeholder:"FILE"`
 }
 
-// privateMode lets only the owner read the key.
-const privateMode = 0o600
+// keyFileMode gives access to a private key to its owner only.
+const keyFileMode = 0o600
 
-// Run implements the command.
+// Run writes a new private key to a file and prints the public key.
 func (c *keyGenerateCommand) Run() error {
 	public, private, err := bundle.GenerateKey()
 	if err != nil {
 		return err
 	}
-	file, err := os.OpenFile(c.Out, os.O_WRONLY|os.O_CREATE|os.O_EXCL, privateMode)
+	file, err := os.OpenFile(c.Out, os.O_WRONLY|os.O_CREATE|os.O_EXCL, keyFileMode)
 	if err != nil {
 		return errors.Wrap(err, "create key file")
 	}
@@ -166,10 +167,10 @@
 	JSON    bool     `help:"Print JSON."`
 }
 
-// traceTimeout bounds the question to one router.
+// traceTimeout bounds the request to one router.
 const traceTimeout = 2 * time.Second
 
-// Run implements the command.
+// Run prints the request's trace from each router that has one.
 func (c *traceCommand) Run() error {
 	client := peer.NewClient(&peer.Counters{})
 	found := false
@@ -187,7 +188,7 @@
 		}
 	}
 	if !found {
-		return errors.Newf("no router that answers knows request %s", c.Request)
+		return errors.Newf("request %s not found on any reachable router", c.Request)
 	}
 	return nil
 }
@@ -213,7 +214,7 @@
 	JSON   bool `help:"Print JSON."`
 }
 
-// Run implements the command.
+// Run prints the events in the order of their start.
 func (c *eventListCommand) Run() error {
 	events, err := c.events()
 	if err != nil {
@@ -254,14 +255,14 @@
 	Name   string `arg:"" help:"The event's name."`
 }
 
-// Run implements the command.
+// Run prints one event as JSON.
 func (c *eventShowCommand) Run() error {
 	events, err := c.events()
 	if err != nil {
 		return err
 	}
-	event, known := events[c.Name]
-	if !known {
+	event, ok := events[c.Name]
+	if !ok {
 		return errors.Newf("no such event: %s", c.Name)
 	}
 	return printJSON(event)
@@ -269,7 +270,7 @@
 
 type versionCommand struct{}
 
-// Run implements the command.
+// Run prints the version, the build and the level.
 func (versionCommand) Run() error {
 	fmt.Println("quinceridge", version.Current, version.Build(), "level", level.Current)
 	return nil
--- a/cmd/quinceridge/limits.go
+++ b/cmd/quinceridge/limits.go
@@ -15,8 +15,8 @@
 	"quinceridge.example/quinceridge/internal/coordapi"
 )
 
-// maxLimits bounds what is read of an answer, in bytes: some 100,000 limits.
-const maxLimits = 16 << 20
+// maxResponseBytes bounds the size of a coordinator's response.
+const maxResponseBytes = 16 << 20
 
 type limitsCommand struct {
 	Coordinator string        `arg:"" help:"HTTP or metrics address of any coordinator." placeholder:"ADDRESS"`
@@ -24,9 +24,9 @@
 	JSON        bool          `help:"Print JSON."`
 }
 
-// Run implements the command.
+// Run prints the limits that a coordinator reports.
 func (c *limitsCommand) Run() error {
-	limits, err := c.ask()
+	limits, err := c.fetch()
 	if err != nil {
 		return err
 	}
@@ -36,7 +36,7 @@
 	return writeLimits(os.Stdout, limits)
 }
 
-func (c *limitsCommand) ask() (limits coordapi.LimitsInForce, err error) {
+func (c *limitsCommand) fetch() (limits coordapi.LimitsInForce, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.Coordinator+"/v1/limits", nil)
@@ -45,20 +45,20 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return limits, errors.Wrap(err, "ask a coordinator")
+		return limits, errors.Wrap(err, "query coordinator")
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxLimits))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return limits, errors.Wrap(err, "read a coordinator's answer")
+		return limits, errors.Wrap(err, "read coordinator response")
 	}
 	if response.StatusCode != http.StatusOK {
 		return limits, errors.Newf("%s: %s, %.200s", c.Coordinator, response.Status, body)
 	}
-	return limits, errors.Wrap(json.Unmarshal(body, &limits), "read a coordinator's answer")
+	return limits, errors.Wrap(json.Unmarshal(body, &limits), "decode coordinator response")
 }
 
-// writeLimits prints limits as two tables.
+// writeLimits prints the limits of back ends and of tenants as two tables.
 func writeLimits(w io.Writer, limits coordapi.LimitsInForce) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "BACK END\tPOOL\tREQUESTS/S\tGRANTED/S\tDENIED/S\tHEARD")
--- a/cmd/quinceridge/main.go
+++ b/cmd/quinceridge/main.go
@@ -1,5 +1,5 @@
-// Command quinceridge runs the router and control processes, and is the
-// operators' tool.
+// Command quinceridge runs routers, control nodes and coordinators, and provides the operators'
+// commands.
 package main
 
 import (
@@ -46,21 +46,21 @@
 	if err != nil {
 		fail(err)
 	}
-	context, err := parser.Parse(os.Args[1:])
+	command, err := parser.Parse(os.Args[1:])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "quinceridge:", err)
 		fmt.Fprintln(os.Stderr, "Try quinceridge --help.")
 		os.Exit(exitFindings)
 	}
-	if err := context.Run(); err != nil {
+	if err := command.Run(); err != nil {
 		fail(err)
 	}
 }
 
-// errRefused is the mark of commands that control refused.
+// errRefused marks errors of commands that the control group refused.
 var errRefused = errors.New("refused")
 
-// fail prints an error and ends with the exit code that fits it.
+// fail prints an error and exits with the matching exit code.
 func fail(err error) {
 	var findings finding.List
 	if errors.As(err, &findings) {
--- a/cmd/quinceridge/router.go
+++ b/cmd/quinceridge/router.go
@@ -20,7 +20,7 @@
 	Check  bool   `help:"Check the settings file and exit."`
 }
 
-// Run implements the command.
+// Run runs the router until a stop signal.
 func (c *routerCommand) Run() error {
 	var s settings.Router
 	if err := config.Load(c.Config, &s); err != nil {
@@ -28,7 +28,7 @@
 	}
 	s.SetDefaults()
 	if c.Check {
-		fmt.Println("the settings are sound")
+		fmt.Println("the settings are valid")
 		return nil
 	}
 	stopped := stopSignal()
@@ -43,8 +43,8 @@
 	return r.Stop(context.Background())
 }
 
-// stopSignal returns a channel that closes on the first SIGTERM or interrupt.
-// A second one ends the process at once.
+// stopSignal returns a channel that is closed on the first SIGTERM or interrupt. A second signal
+// exits the process immediately.
 func stopSignal() <-chan struct{} {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
@@ -58,5 +58,5 @@
 	return stopped
 }
 
-// errDisk is returned when a control node ended because its disk failed.
-var errDisk = errors.New("the control node stopped by itself")
+// errNodeFailed is returned when a control node stopped because of a failure, such as of its disk.
+var errNodeFailed = errors.New("control node stopped after a failure")
