--- a/cmd/rehearse/experiment.go
+++ b/cmd/rehearse/experiment.go
@@ -39,6 +39,7 @@
 	Spill       int           `default:"-1" help:"Affinity: spill endpoints considered."`
 }
 
+// affinity returns the default affinity configuration with the flags that were set.
 func (c *experimentCommand) affinity() scheduling.Config {
 	config := scheduling.DefaultConfig()
 	config.PrefillTokensPerSecond = enginemodel.DefaultConfig().PrefillTokensPerSecond()
@@ -63,7 +64,7 @@
 	return config
 }
 
-// Run implements the command.
+// Run simulates the chosen scenarios and policies, prints a table and writes the chosen reports.
 func (c *experimentCommand) Run(ctx context.Context) error {
 	d, err := deployment.Find(c.Deployment)
 	if err != nil {
@@ -84,7 +85,7 @@
 		if err != nil {
 			return errors.Wrap(err, "encode figures")
 		}
-		if err := os.WriteFile(c.JSON, append(text, '\n'), resultsMode); err != nil {
+		if err := os.WriteFile(c.JSON, append(text, '\n'), resultFileMode); err != nil {
 			return errors.Wrap(err, "write figures")
 		}
 	}
--- a/cmd/rehearse/faults.go
+++ b/cmd/rehearse/faults.go
@@ -8,27 +8,27 @@
 	"quinceridge.example/quinceridge/internal/fleet"
 )
 
-// quietEnd is how long before the end of a run the last fault comes.
-const quietEnd = 8 * time.Second
+// faultFreeTail is the time at the end of a run in which no faults are injected.
+const faultFreeTail = 8 * time.Second
 
 type faultsCommand struct {
 	fleetFlags `embed:""`
 }
 
-// Run implements the command.
+// Run drives a fleet with requests and injects faults until shortly before the end.
 func (c *faultsCommand) Run(ctx context.Context) error {
-	return c.rehearse(ctx, func(f *fleet.Fleet, brought *fleet.Summary) error {
-		faulty, cancel := context.WithTimeout(ctx, time.Duration(c.Seconds)*time.Second-quietEnd)
+	return c.runFleet(ctx, func(f *fleet.Fleet, injected *fleet.Summary) error {
+		faultsCtx, cancel := context.WithTimeout(ctx, time.Duration(c.Seconds)*time.Second-faultFreeTail)
 		defer cancel()
 		counts := make(chan map[string]int, 1)
-		go func() { counts <- f.InjectFaults(faulty, c.Seed) }()
-		driven := f.RunCallers(ctx)
+		go func() { counts <- f.InjectFaults(faultsCtx, c.Seed) }()
+		callersErr := f.RunCallers(ctx)
 		cancel()
-		brought.FaultCounts = <-counts
-		for _, count := range brought.FaultCounts {
-			brought.Faults += count
+		injected.FaultCounts = <-counts
+		for _, count := range injected.FaultCounts {
+			injected.Faults += count
 		}
-		fmt.Printf("%d faults: %v\n", brought.Faults, brought.FaultCounts)
-		return driven
+		fmt.Printf("%d faults: %v\n", injected.Faults, injected.FaultCounts)
+		return callersErr
 	})
 }
--- a/cmd/rehearse/fleet.go
+++ b/cmd/rehearse/fleet.go
@@ -15,7 +15,7 @@
 	"quinceridge.example/quinceridge/internal/workload"
 )
 
-// fleetFlags are common to the commands that run a fleet.
+// fleetFlags holds the flags of the commands that run a fleet.
 type fleetFlags struct {
 	Deployment string  `default:"grocery" help:"grocery or pago."`
 	Seconds    int     `default:"30" help:"Length of the run. The surge is its middle third."`
@@ -27,43 +27,45 @@
 	Network    int     `help:"Second number of all addresses, 127.N.x.y. Default: from the process id."`
 }
 
-// networks is how many second numbers are used, from firstNetwork on.
+// The default second octet of a fleet's addresses is one of networkCount values from firstNetwork
+// on, so that fleets can run side by side.
 const (
 	firstNetwork = 64
-	networks     = 128
+	networkCount = 128
 )
 
-// config returns the fleet to start, and what removes its folder.
+// config returns the configuration of the fleet, and a function that removes its folder unless the
+// operator chose it.
 func (c *fleetFlags) config() (fleet.Config, func(), error) {
-	keep := func() {}
+	keepFolder := func() {}
 	d, err := deployment.Find(c.Deployment)
 	if err != nil {
-		return fleet.Config{}, keep, err
+		return fleet.Config{}, keepFolder, err
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return fleet.Config{}, keep, errors.Wrap(err, "find this program")
+		return fleet.Config{}, keepFolder, errors.Wrap(err, "find this program")
 	}
 	if c.Binary == "" {
 		c.Binary = filepath.Join(filepath.Dir(self), "quinceridge")
 	}
 	if c.Network == 0 {
-		c.Network = firstNetwork + os.Getpid()%networks
+		c.Network = firstNetwork + os.Getpid()%networkCount
 	}
-	folder, remove := c.Folder, keep
+	folder, removeFolder := c.Folder, keepFolder
 	if folder == "" {
 		if folder, err = os.MkdirTemp("", "rehearse-"); err != nil {
-			return fleet.Config{}, keep, errors.Wrap(err, "create folder")
+			return fleet.Config{}, keepFolder, errors.Wrap(err, "create folder")
 		}
-		remove = func() { _ = os.RemoveAll(folder) }
+		removeFolder = func() { _ = os.RemoveAll(folder) }
 	}
 	length := time.Duration(c.Seconds) * time.Second
 	plan := workload.Plan{SurgeStart: length / 3, SurgeEnd: 2 * length / 3, ShiftAt: length / 2, End: length, Demand: c.Demand}
 	return fleet.Config{Deployment: d, QuinceridgeBinary: c.Binary, RehearseBinary: self, Folder: folder, Network: c.Network,
-		Plan: plan, Seed: c.Seed, Progress: os.Stdout}, remove, nil
+		Plan: plan, Seed: c.Seed, Progress: os.Stdout}, removeFolder, nil
 }
 
-// report prints a summary and writes it.
+// report prints a summary, and writes it to the JSON file if one was given.
 func (c *fleetFlags) report(s *fleet.Summary) error {
 	fmt.Printf("%s, seed %d: %d requests in %.0f s: %d answered, %d not run, %d outcome unknown\n",
 		s.Deployment, s.Seed, s.Requests, s.Seconds, s.Answered, s.NotRun, s.OutcomeUnknown)
@@ -77,7 +79,7 @@
 		fmt.Println("  error:", line)
 	}
 	if len(s.Stuck) > 0 {
-		fmt.Println("  did not stop when asked:", s.Stuck)
+		fmt.Println("  killed after the stop timeout:", s.Stuck)
 	}
 	if c.JSON == "" {
 		return nil
@@ -86,40 +88,40 @@
 	if err != nil {
 		return errors.Wrap(err, "encode summary")
 	}
-	return errors.Wrap(os.WriteFile(c.JSON, append(text, '\n'), resultsMode), "write summary")
+	return errors.Wrap(os.WriteFile(c.JSON, append(text, '\n'), resultFileMode), "write summary")
 }
 
-// rehearse starts a fleet, runs work on it, stops it and reports. The folder is
-// kept unless all was sound.
-func (c *fleetFlags) rehearse(ctx context.Context, work func(*fleet.Fleet, *fleet.Summary) error) error {
-	config, remove, err := c.config()
+// runFleet starts a fleet, calls work with it, stops it and reports. It keeps the folder if a step
+// or a check of the summary failed.
+func (c *fleetFlags) runFleet(ctx context.Context, work func(*fleet.Fleet, *fleet.Summary) error) error {
+	config, removeFolder, err := c.config()
 	if err != nil {
 		return err
 	}
 	f, err := fleet.Start(ctx, config)
 	if err != nil {
-		return errors.Wrapf(err, "start; logs are in %s", config.Folder)
+		return errors.Wrapf(err, "start fleet; logs are in %s", config.Folder)
 	}
-	fmt.Printf("%s is up: %d engines, %d routers, 3 control nodes, %d workers on 127.%d.0.0/16\n",
+	fmt.Printf("%s is running: %d engines, %d routers, 3 control nodes, %d workers on 127.%d.0.0/16\n",
 		c.Deployment, config.Deployment.Engines, config.Deployment.Routers, config.Deployment.Workers, config.Network)
-	var brought fleet.Summary
-	worked := work(f, &brought)
+	var injected fleet.Summary
+	workErr := work(f, &injected)
 	stuck := f.Stop()
-	if worked != nil {
-		return errors.Wrapf(worked, "logs are in %s", config.Folder)
+	if workErr != nil {
+		return errors.Wrapf(workErr, "logs are in %s", config.Folder)
 	}
 	summary, err := f.Summarize()
 	if err != nil {
 		return err
 	}
-	summary.Stuck, summary.Faults, summary.FaultCounts = stuck, brought.Faults, brought.FaultCounts
+	summary.Stuck, summary.Faults, summary.FaultCounts = stuck, injected.Faults, injected.FaultCounts
 	if err := c.report(summary); err != nil {
 		return err
 	}
 	if !summary.Passed() {
-		return errors.Wrapf(errUnsound, "logs and data are in %s", config.Folder)
+		return errors.Wrapf(errCheckFailed, "logs and data are in %s", config.Folder)
 	}
-	remove()
+	removeFolder()
 	return nil
 }
 
@@ -127,7 +129,7 @@
 	fleetFlags `embed:""`
 }
 
-// Run implements the command.
+// Run drives a fleet with requests and checks the responses.
 func (c *fleetCommand) Run(ctx context.Context) error {
-	return c.rehearse(ctx, func(f *fleet.Fleet, _ *fleet.Summary) error { return f.RunCallers(ctx) })
+	return c.runFleet(ctx, func(f *fleet.Fleet, _ *fleet.Summary) error { return f.RunCallers(ctx) })
 }
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -1,5 +1,5 @@
-// Command rehearse is the rehearsal kit: stand-ins for the outside systems,
-// whole fleets on loopback, and the bench. It is not part of the product.
+// Command rehearse is the test tool of quinceridge. It runs stand-ins for external systems, whole
+// deployments on loopback addresses, and simulations. It is not part of the product.
 package main
 
 import (
@@ -13,18 +13,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Exit codes.
+// Exit codes, file modes and the limit of the callers.
 const (
-	exitFailure  = 1
-	exitUsage    = 2
-	exitUnsound  = 3
-	resultsMode  = 0o600
-	foldersMode  = 0o700
-	maxOpenCalls = 2000
+	exitFailure        = 1
+	exitUsage          = 2
+	exitCheckFailed    = 3
+	resultFileMode     = 0o600
+	folderMode         = 0o700
+	maxConcurrentCalls = 2000
 )
 
-// errUnsound is returned when a run broke a promise.
-var errUnsound = errors.New("answers were lost, cut, doubled, wrong, or falsely called not run")
+// errCheckFailed is returned when a check of a run's responses failed.
+var errCheckFailed = errors.New("responses were lost, incomplete, duplicated, wrong, or reported as not run although they ran")
 
 type commandLine struct {
 	Fleet       fleetCommand       `cmd:"" help:"Run a whole deployment as processes and drive a surge."`
@@ -53,12 +53,12 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// A second signal ends commands that do not heed the first.
+	// Restore the default handling after the first signal, so that a second one ends the process.
 	context.AfterFunc(ctx, stop)
 	command.BindTo(ctx, (*context.Context)(nil))
 	if err := command.Run(); err != nil {
-		if errors.Is(err, errUnsound) {
-			fail(err, exitUnsound)
+		if errors.Is(err, errCheckFailed) {
+			fail(err, exitCheckFailed)
 		}
 		fail(err, exitFailure)
 	}
--- a/cmd/rehearse/simulate.go
+++ b/cmd/rehearse/simulate.go
@@ -18,20 +18,20 @@
 	Mutant string `help:"Remove a guard: no-sync, no-lease, no-adopt, no-fence or no-void."`
 }
 
-// Run implements the command.
+// Run simulates the seeds in parallel and prints the failed ones and a summary.
 func (c *simulateCommand) Run(ctx context.Context) error {
 	started := time.Now()
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	semaphore := make(chan struct{}, runtime.GOMAXPROCS(0))
 	failed, total := 0, simulation.Report{Faults: map[string]int{}}
 	for i := range c.Seeds {
 		if ctx.Err() != nil {
 			break
 		}
-		slots <- struct{}{}
+		semaphore <- struct{}{}
 		group.Go(func() {
-			defer func() { <-slots }()
+			defer func() { <-semaphore }()
 			config := simulation.DefaultConfig(c.Seed + uint64(i))
 			config.Mutant = simulation.Mutant(c.Mutant)
 			report, err := simulation.Run(config)
--- a/cmd/rehearse/soak.go
+++ b/cmd/rehearse/soak.go
@@ -27,60 +27,61 @@
 	Older   string `default:"" help:"An earlier build that all processes run first; they are replaced by the program one after the other."`
 }
 
-// Run implements the command.
+// Run runs the seeds one after the other and fails if a check failed in any of them.
 func (c *soakCommand) Run(ctx context.Context) error {
-	binary, err := c.program(ctx)
+	binary, err := c.binaryPath(ctx)
 	if err != nil {
 		return err
 	}
-	first := c.Seed
-	if first == 0 {
-		first = uint64(time.Now().Unix())
+	firstSeed := c.Seed
+	if firstSeed == 0 {
+		firstSeed = uint64(time.Now().Unix())
 	}
 	failed := 0
 	for i := range c.Seeds {
-		sound, err := c.one(ctx, binary, first+uint64(i))
+		passed, err := c.runSeed(ctx, binary, firstSeed+uint64(i))
 		if err != nil {
 			return err
 		}
-		if !sound {
+		if !passed {
 			failed++
 		}
 	}
 	if failed > 0 {
-		return errors.Wrapf(errUnsound, "%d of %d seeds", failed, c.Seeds)
+		return errors.Wrapf(errCheckFailed, "%d of %d seeds", failed, c.Seeds)
 	}
 	return nil
 }
 
-func (c *soakCommand) program(ctx context.Context) (string, error) {
+// binaryPath returns the path of the quinceridge program, and builds it if none was given.
+func (c *soakCommand) binaryPath(ctx context.Context) (string, error) {
 	if c.Binary != "" {
 		return filepath.Abs(c.Binary)
 	}
 	path, err := filepath.Abs(filepath.Join("bin", "quinceridge"))
 	if err != nil {
-		return "", errors.Wrap(err, "find folder")
+		return "", errors.Wrap(err, "resolve binary path")
 	}
 	output, err := exec.CommandContext(ctx, "go", "build", "-o", path, "./cmd/quinceridge").CombinedOutput()
 	return path, errors.Wrapf(err, "build: %s", output)
 }
 
-// one runs a seed. The folder of a sound one is removed.
-func (c *soakCommand) one(ctx context.Context, binary string, seed uint64) (bool, error) {
+// runSeed runs one seed and reports whether it passed. It removes the folder of a seed that passed.
+func (c *soakCommand) runSeed(ctx context.Context, binary string, seed uint64) (bool, error) {
 	folder, err := filepath.Abs(filepath.Join(c.Folder, fmt.Sprintf("seed-%d", seed)))
 	if err != nil {
-		return false, errors.Wrap(err, "find folder")
+		return false, errors.Wrap(err, "resolve folder")
 	}
 	if err := os.RemoveAll(folder); err != nil {
 		return false, errors.Wrap(err, "clear folder")
 	}
-	if err := os.MkdirAll(folder, foldersMode); err != nil {
-		return false, errors.Wrap(err, "make folder")
+	if err := os.MkdirAll(folder, folderMode); err != nil {
+		return false, errors.Wrap(err, "create folder")
 	}
 	older := c.Older
 	if older != "" {
 		if older, err = filepath.Abs(older); err != nil {
-			return false, errors.Wrap(err, "find the older build")
+			return false, errors.Wrap(err, "resolve path of older build")
 		}
 	}
 	report, err := soak.Run(ctx, soak.Config{Binary: binary, Older: older, Folder: folder, Seed: seed, Length: time.Duration(c.Seconds) * time.Second,
@@ -94,7 +95,7 @@
 	}
 	fmt.Println(string(text))
 	if len(report.Broken) > 0 {
-		return false, errors.Wrap(os.WriteFile(filepath.Join(folder, "report.json"), text, resultsMode), "keep report")
+		return false, errors.Wrap(os.WriteFile(filepath.Join(folder, "report.json"), text, resultFileMode), "write report")
 	}
 	return true, errors.Wrap(os.RemoveAll(folder), "clear folder")
 }
--- a/cmd/rehearse/standins.go
+++ b/cmd/rehearse/standins.go
@@ -33,7 +33,7 @@
 	KVStore     string        `name:"kv-store" help:"Address of the KV store."`
 }
 
-// Run implements the command.
+// Run runs an engine stand-in until the context ends.
 func (c *engineCommand) Run(ctx context.Context) error {
 	e, err := engine.New(engine.Config{ID: c.ID, Listen: c.Listen, Folder: c.Folder, Model: c.Model, WeightsVersion: c.Weights,
 		Service: enginemodel.DefaultConfig(), ReportLag: c.ReportLag, EventLag: c.EventLag, EventLoss: c.EventLoss,
@@ -51,7 +51,7 @@
 	Service time.Duration `default:"10ms" help:"Mean time of a run."`
 }
 
-// Run implements the command.
+// Run runs an application worker stand-in until the context ends.
 func (c *appworkerCommand) Run(ctx context.Context) error {
 	w, err := appworker.New(appworker.Config{ID: c.ID, Listen: c.Listen, Folder: c.Folder, Service: c.Service})
 	if err != nil {
@@ -65,7 +65,7 @@
 	Lag    time.Duration `default:"500ms" help:"How far the list is behind."`
 }
 
-// Run implements the command.
+// Run serves the platform's machine list until the context ends.
 func (c *platformCommand) Run(ctx context.Context) error {
 	return platform.New(platform.Config{Listen: c.Listen, Lag: c.Lag}).Run(ctx)
 }
@@ -76,7 +76,7 @@
 	PerBlock time.Duration `default:"500us" help:"Transfer time of a block."`
 }
 
-// Run implements the command.
+// Run runs a KV store stand-in until the context ends.
 func (c *kvstoreCommand) Run(ctx context.Context) error {
 	return kvstore.New(kvstore.Config{Listen: c.Listen, Capacity: c.Capacity, PerBlock: c.PerBlock}).Run(ctx)
 }
@@ -86,7 +86,7 @@
 	Loads  float64 `default:"2" help:"Loads a second."`
 }
 
-// Run implements the command.
+// Run runs a weight store stand-in until the context ends.
 func (c *weightstoreCommand) Run(ctx context.Context) error {
 	return weightstore.Run(ctx, weightstore.Config{Listen: c.Listen, Loads: c.Loads})
 }
@@ -99,7 +99,7 @@
 	JSON       string   `required:"" help:"File for the report."`
 }
 
-// Run implements the command.
+// Run sends the planned requests, prints progress and writes the report.
 func (c *callersCommand) Run(ctx context.Context) error {
 	d, err := deployment.Find(c.Deployment)
 	if err != nil {
@@ -107,18 +107,18 @@
 	}
 	var plan workload.Plan
 	if err := json.Unmarshal([]byte(c.Plan), &plan); err != nil {
-		return errors.Wrap(err, "read plan")
+		return errors.Wrap(err, "decode plan")
 	}
 	started := time.Now()
-	report := callers.Run(ctx, callers.Config{Deployment: d, Plan: plan, Seed: c.Seed, Routers: c.Router, Limit: maxOpenCalls,
+	report := callers.Run(ctx, callers.Config{Deployment: d, Plan: plan, Seed: c.Seed, Routers: c.Router, Limit: maxConcurrentCalls,
 		Progress: func(t callers.Tally) {
-			at := time.Since(started)
+			elapsed := time.Since(started)
 			fmt.Printf("%5.0fs %-6s sent %6d  answered %6d  refusals %4d  broken %4d  lost %d  wrong %d\n",
-				at.Seconds(), plan.Phase(at), t.Requests, t.Answered, t.Refusals, t.Broken, t.Lost+t.IncompleteStreams, t.Wrong)
+				elapsed.Seconds(), plan.Phase(elapsed), t.Requests, t.Answered, t.Refusals, t.Broken, t.Lost+t.IncompleteStreams, t.Wrong)
 		}})
 	text, err := json.MarshalIndent(report, "", "  ")
 	if err != nil {
 		return errors.Wrap(err, "encode report")
 	}
-	return errors.Wrap(os.WriteFile(c.JSON, text, resultsMode), "write report")
+	return errors.Wrap(os.WriteFile(c.JSON, text, resultFileMode), "write report")
 }
