--- a/internal/fleet/faults.go
+++ b/internal/fleet/faults.go
@@ -12,72 +12,75 @@
 	"quinceridge.example/quinceridge/internal/process"
 )
 
-// Times of faults.
+// Timing of the faults.
 const (
-	firstFault   = 3 * time.Second
-	faultPause   = 2 * time.Second
-	shortestDown = 200 * time.Millisecond
-	longestDown  = 2 * time.Second
-	longFreeze   = 6 * time.Second
-	// leavingTime is how long a leaving engine stays, and leavingLimit how soon
-	// it must get nothing new.
-	leavingTime  = 5 * time.Second
-	leavingLimit = 3 * time.Second
-	drainWait    = 20 * time.Second
+	firstFault        = 3 * time.Second
+	meanFaultInterval = 2 * time.Second
+	minDowntime       = 200 * time.Millisecond
+	maxDowntime       = 2 * time.Second
+	maxFreeze         = 6 * time.Second
+	// leavingDuration is the time from listing an engine as leaving to stopping it. After leavingGrace
+	// it must not receive new work.
+	leavingDuration = 5 * time.Second
+	leavingGrace    = 3 * time.Second
+	drainTimeout    = 20 * time.Second
 )
 
-// injector brings faults about on a running fleet, in an order that its seed
-// fixes.
+// injector injects faults into a running fleet, in an order that its seed determines.
 type injector struct {
 	fleet  *Fleet
 	random *rand.Rand
 
 	mu     sync.Mutex
 	counts map[string]int
-	busy   map[string]bool // processes that a fault is at work on
+	busy   map[string]bool // processes, and the operators, that a fault is using
 	group  sync.WaitGroup
 }
 
-type processFault struct {
+// faultKind is a fault to inject, chosen with a probability proportional to its weight.
+type faultKind struct {
 	name   string
 	weight int
 	run    func(i *injector, ctx context.Context)
 }
 
-var processFaults = []processFault{
+var faultKinds = []faultKind{
 	{"kill an engine", 5, func(i *injector, ctx context.Context) {
-		i.bounce(ctx, engineName(i.random.IntN(i.fleet.config.Deployment.Engines)))
+		i.killAndRestart(ctx, engineName(i.random.IntN(i.fleet.config.Deployment.Engines)))
 	}},
 	{"freeze an engine", 3, func(i *injector, ctx context.Context) {
-		i.freeze(ctx, engineName(i.random.IntN(i.fleet.config.Deployment.Engines)), i.between(time.Second, longFreeze))
+		i.freeze(ctx, engineName(i.random.IntN(i.fleet.config.Deployment.Engines)), i.randomDuration(time.Second, maxFreeze))
 	}},
 	{"kill a router", 4, func(i *injector, ctx context.Context) {
-		i.bounce(ctx, routerName(i.random.IntN(i.fleet.config.Deployment.Routers)))
+		i.killAndRestart(ctx, routerName(i.random.IntN(i.fleet.config.Deployment.Routers)))
 	}},
 	{"freeze a router", 2, func(i *injector, ctx context.Context) {
-		i.freeze(ctx, routerName(i.random.IntN(i.fleet.config.Deployment.Routers)), i.between(time.Second, longFreeze))
+		i.freeze(ctx, routerName(i.random.IntN(i.fleet.config.Deployment.Routers)), i.randomDuration(time.Second, maxFreeze))
+	}},
+	{"stop a router as planned", 2, (*injector).restartGracefully},
+	{"restart half of the routers", 1, (*injector).restartHalfOfRouters},
+	{"kill a control node", 4, func(i *injector, ctx context.Context) {
+		i.killAndRestart(ctx, controlName(i.random.IntN(controlCount)))
 	}},
-	{"stop a router as planned", 2, (*injector).planStop},
-	{"restart half of the routers", 1, (*injector).herd},
-	{"kill a control node", 4, func(i *injector, ctx context.Context) { i.bounce(ctx, controlName(i.random.IntN(controls))) }},
 	{"freeze a control node", 3, func(i *injector, ctx context.Context) {
-		i.freeze(ctx, controlName(i.random.IntN(controls)), i.between(time.Second, longFreeze))
+		i.freeze(ctx, controlName(i.random.IntN(controlCount)), i.randomDuration(time.Second, maxFreeze))
 	}},
-	{"kill all control nodes", 1, (*injector).killControl},
+	{"kill all control nodes", 1, (*injector).killAllControlNodes},
 	{"kill an application worker", 3, func(i *injector, ctx context.Context) {
-		i.bounce(ctx, workerName(i.random.IntN(i.fleet.config.Deployment.Workers)))
+		i.killAndRestart(ctx, workerName(i.random.IntN(i.fleet.config.Deployment.Workers)))
 	}},
-	{"let an engine leave", 2, (*injector).leave},
-	{"race two bundles", 2, (*injector).race},
-	{"load new weights", 2, (*injector).load},
+	{"let an engine leave", 2, (*injector).drainEngine},
+	{"race two bundles", 2, (*injector).runOperatorRace},
+	{"load new weights", 2, (*injector).loadNewWeights},
 }
 
-// InjectFaults brings faults about until the context ends, then waits until all
-// processes run again. It returns how many there were of each kind.
+// InjectFaults injects faults until the context ends, then waits for the faults in progress to
+// finish. It returns the number of faults by kind, including those that were skipped because
+// another fault was using the process.
 func (f *Fleet) InjectFaults(ctx context.Context, seed uint64) map[string]int {
 	i := &injector{fleet: f, random: rand.New(rand.NewPCG(seed, 5)), counts: map[string]int{}, busy: map[string]bool{}}
 	total := 0
-	for _, fault := range processFaults {
+	for _, fault := range faultKinds {
 		total += fault.weight
 	}
 	wait := firstFault
@@ -88,10 +91,10 @@
 			return i.counts
 		case <-time.After(wait):
 		}
-		wait = i.between(faultPause/2, faultPause*3/2)
-		at := i.random.IntN(total)
-		for _, fault := range processFaults {
-			if at -= fault.weight; at < 0 {
+		wait = i.randomDuration(meanFaultInterval/2, meanFaultInterval*3/2)
+		pick := i.random.IntN(total)
+		for _, fault := range faultKinds {
+			if pick -= fault.weight; pick < 0 {
 				i.counts[fault.name]++
 				_, _ = fmt.Fprintf(f.config.Progress, "       fault: %s\n", fault.name)
 				fault.run(i, context.WithoutCancel(ctx))
@@ -101,12 +104,13 @@
 	}
 }
 
-func (i *injector) between(low, high time.Duration) time.Duration {
+func (i *injector) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(i.random.Int64N(int64(high-low)))
 }
 
-// take marks a process as worked on, unless another fault has it.
-func (i *injector) take(name string) bool {
+// acquire marks a process as in use and reports whether it did. It fails if another fault is using
+// the process.
+func (i *injector) acquire(name string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.busy[name] {
@@ -122,9 +126,9 @@
 	delete(i.busy, name)
 }
 
-// on runs work on a process that no other fault has.
-func (i *injector) on(name string, work func(p *process.Process)) {
-	if !i.take(name) {
+// runExclusive runs work on a process in the background, unless another fault is using the process.
+func (i *injector) runExclusive(name string, work func(p *process.Process)) {
+	if !i.acquire(name) {
 		return
 	}
 	i.group.Go(func() {
@@ -133,10 +137,10 @@
 	})
 }
 
-// bounce kills a process without notice and starts it again.
-func (i *injector) bounce(_ context.Context, name string) {
-	down := i.between(shortestDown, longestDown)
-	i.on(name, func(p *process.Process) {
+// killAndRestart kills a process with SIGKILL and starts it again after a random downtime.
+func (i *injector) killAndRestart(_ context.Context, name string) {
+	down := i.randomDuration(minDowntime, maxDowntime)
+	i.runExclusive(name, func(p *process.Process) {
 		p.Kill()
 		time.Sleep(down)
 		_ = p.Start()
@@ -144,70 +148,69 @@
 }
 
 func (i *injector) freeze(_ context.Context, name string, length time.Duration) {
-	i.on(name, func(p *process.Process) {
-		p.Signal(syscallStop)
+	i.runExclusive(name, func(p *process.Process) {
+		p.Signal(signalFreeze)
 		time.Sleep(length)
-		p.Signal(syscallContinue)
+		p.Signal(signalResume)
 	})
 }
 
-// planStop stops a router as an operator does, and starts it again.
-func (i *injector) planStop(context.Context) {
+// restartGracefully stops a router with SIGTERM and starts it again.
+func (i *injector) restartGracefully(context.Context) {
 	name := routerName(i.random.IntN(i.fleet.config.Deployment.Routers))
-	i.on(name, func(p *process.Process) {
-		p.Terminate(drainWait)
+	i.runExclusive(name, func(p *process.Process) {
+		p.Terminate(drainTimeout)
 		_ = p.Start()
 	})
 }
 
-func (i *injector) herd(ctx context.Context) {
+func (i *injector) restartHalfOfRouters(ctx context.Context) {
 	for n := range i.fleet.config.Deployment.Routers {
 		if n%2 == 0 {
-			i.bounce(ctx, routerName(n))
+			i.killAndRestart(ctx, routerName(n))
 		}
 	}
 }
 
-func (i *injector) killControl(ctx context.Context) {
-	for n := range controls {
-		i.bounce(ctx, controlName(n))
+func (i *injector) killAllControlNodes(ctx context.Context) {
+	for n := range controlCount {
+		i.killAndRestart(ctx, controlName(n))
 	}
 }
 
-// leave lists an engine as leaving, stops it after its streams have ended, and
-// brings it back.
-func (i *injector) leave(ctx context.Context) {
+// drainEngine lists an engine as leaving, stops it after leavingDuration, starts it again and lists
+// it as available.
+func (i *injector) drainEngine(ctx context.Context) {
 	number := i.random.IntN(i.fleet.config.Deployment.Engines)
-	i.on(engineName(number), func(p *process.Process) {
+	i.runExclusive(engineName(number), func(p *process.Process) {
 		machine := i.fleet.engineMachine(number)
 		machine.Leaving = true
 		_ = i.fleet.List(ctx, machine)
 		listed := time.Now()
-		time.Sleep(leavingTime)
-		p.Terminate(drainWait)
-		i.fleet.noteLeaving(leaving{engine: machine.ID, from: listed.Add(leavingLimit), to: time.Now()})
+		time.Sleep(leavingDuration)
+		p.Terminate(drainTimeout)
+		i.fleet.recordLeaving(leavingWindow{engine: machine.ID, from: listed.Add(leavingGrace), to: time.Now()})
 		_ = p.Start()
 		machine.Leaving = false
 		_ = i.fleet.List(ctx, machine)
 	})
 }
 
-// leaving is a time in which an engine must get no new work.
-type leaving struct {
+// leavingWindow is a period in which an engine must not receive new work.
+type leavingWindow struct {
 	engine   string
 	from, to time.Time
 }
 
-func (f *Fleet) noteLeaving(l leaving) {
+func (f *Fleet) recordLeaving(l leavingWindow) {
 	f.leavingMu.Lock()
 	defer f.leavingMu.Unlock()
-	f.leavings = append(f.leavings, l)
+	f.leavingWindows = append(f.leavingWindows, l)
 }
 
-// race lets two operators propose bundles of equal version numbers at once.
-// Exactly one may win.
-func (i *injector) race(ctx context.Context) {
-	if !i.take("operators") {
+// runOperatorRace has two operators propose bundles with the same version at the same time.
+func (i *injector) runOperatorRace(ctx context.Context) {
+	if !i.acquire("operators") {
 		return
 	}
 	i.group.Go(func() {
@@ -216,9 +219,9 @@
 	})
 }
 
-// load raises the weights version that engines are to load.
-func (i *injector) load(ctx context.Context) {
-	if !i.take("operators") {
+// loadNewWeights proposes a bundle with a higher target version of the weights.
+func (i *injector) loadNewWeights(ctx context.Context) {
+	if !i.acquire("operators") {
 		return
 	}
 	i.group.Go(func() {
@@ -227,9 +230,10 @@
 	})
 }
 
-// following returns a copy of the fleet's bundle that follows the one in force.
-func (f *Fleet) following(ctx context.Context) (*bundle.Bundle, error) {
-	status, err := f.operator(ctx, "bundle", "status", "--json")
+// nextBundle returns a copy of the fleet's bundle with the version and parent that follow the bundle
+// in force.
+func (f *Fleet) nextBundle(ctx context.Context) (*bundle.Bundle, error) {
+	status, err := f.runOperatorCommand(ctx, "bundle", "status", "--json")
 	if err != nil {
 		return nil, err
 	}
@@ -243,13 +247,13 @@
 }
 
 func (f *Fleet) raiseWeights(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, drainWait)
+	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
 	name := f.config.Deployment.Model
 	model := f.bundle.Models[name]
 	model.TargetWeightsVersion = max(model.TargetWeightsVersion, 1) + 1
 	f.bundle.Models[name] = model
-	next, err := f.following(ctx)
+	next, err := f.nextBundle(ctx)
 	if err != nil {
 		return
 	}
@@ -257,21 +261,21 @@
 	if writeYAML(path, next) != nil {
 		return
 	}
-	_, _ = f.operator(ctx, "bundle", "propose", path, "--operator", operatorName, "--key", f.key)
+	_, _ = f.runOperatorCommand(ctx, "bundle", "propose", path, "--operator", operatorName, "--key", f.keyFile)
 }
 
-// raceOperators proposes two bundles that follow the one in force.
+// raceOperators concurrently proposes two bundles with the same version and parent.
 func (f *Fleet) raceOperators(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, drainWait)
+	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
-	follower, err := f.following(ctx)
+	base, err := f.nextBundle(ctx)
 	if err != nil {
 		return
 	}
 	var group sync.WaitGroup
 	for n := range 2 {
 		group.Go(func() {
-			next := *follower
+			next := *base
 			next.Routes = map[string]bundle.Route{}
 			for name, route := range f.bundle.Routes {
 				next.Routes[name] = route
@@ -281,7 +285,7 @@
 			if writeYAML(path, &next) != nil {
 				return
 			}
-			_, _ = f.operator(ctx, "bundle", "propose", path, "--operator", operatorName, "--key", f.key)
+			_, _ = f.runOperatorCommand(ctx, "bundle", "propose", path, "--operator", operatorName, "--key", f.keyFile)
 			_ = os.Remove(path)
 		})
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet starts a whole deployment as separate processes on loopback
-// addresses, drives it and reads what it left.
+// Package fleet runs a whole deployment as separate processes on loopback addresses, sends requests
+// to it, injects faults and summarizes the results.
 package fleet
 
 import (
@@ -26,29 +26,28 @@
 	"quinceridge.example/quinceridge/internal/workload"
 )
 
-// Limits of the launcher.
+// Timeouts, and the number of control nodes.
 const (
-	startLimit = 30 * time.Second
-	stopLimit  = 15 * time.Second
-	controls   = 3
-	// callersLead is the time between the start of the callers and their first
-	// request.
-	callersLimit = 2 * time.Minute
+	startTimeout = 30 * time.Second
+	stopTimeout  = 15 * time.Second
+	controlCount = 3
+	// callersTimeout is the time that the callers have to finish after the end of the plan.
+	callersTimeout = 2 * time.Minute
 )
 
-// Config says what fleet to start.
+// Config configures a fleet.
 type Config struct {
 	Deployment deployment.Deployment
 	// QuinceridgeBinary and RehearseBinary are the paths of the programs to run.
 	QuinceridgeBinary string
 	RehearseBinary    string
-	// Folder keeps settings, data, logs and results.
+	// Folder holds the settings, data, logs and results.
 	Folder string
-	// Network is the second number of all addresses.
+	// Network is the second octet of all addresses.
 	Network int
 	Plan    workload.Plan
 	Seed    uint64
-	// Progress gets lines for people.
+	// Progress receives human-readable progress lines.
 	Progress io.Writer
 }
 
@@ -58,19 +57,20 @@
 	layout    layout
 	processes map[string]*process.Process
 	order     []string
-	key       string // file of the operator's private key
-	public    string
+	keyFile   string // file of the operator's private key
+	publicKey string
 	bundle    *bundle.Bundle
 
-	leavingMu sync.Mutex
-	leavings  []leaving
+	leavingMu      sync.Mutex
+	leavingWindows []leavingWindow
 }
 
-// Start starts all processes and puts the first bundle in force.
+// Start starts all processes, proposes the first bundle and waits until all routers are ready. If a
+// step fails it stops the processes that it started.
 func Start(ctx context.Context, config Config) (*Fleet, error) {
 	f := &Fleet{config: config, processes: map[string]*process.Process{},
-		layout: layout{network: config.Network, folder: config.Folder, deployment: config.Deployment, controls: controls}}
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+		layout: layout{network: config.Network, folder: config.Folder, deployment: config.Deployment, controlCount: controlCount}}
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := f.start(ctx); err != nil {
 		f.Stop()
@@ -92,7 +92,7 @@
 			return err
 		}
 	}
-	f.bundle = f.layout.firstBundle(f.public, f.config.Plan, time.Now())
+	f.bundle = f.layout.firstBundle(f.publicKey, f.config.Plan, time.Now())
 	if err := f.Propose(ctx, f.bundle); err != nil {
 		return err
 	}
@@ -105,17 +105,17 @@
 }
 
 func (f *Fleet) makeKey() error {
-	public, private, err := bundle.GenerateKey()
+	publicKey, privateKey, err := bundle.GenerateKey()
 	if err != nil {
 		return err
 	}
-	f.public = public
-	f.key = filepath.Join(f.config.Folder, "operator.key")
-	return errors.Wrap(os.WriteFile(f.key, []byte(private), fileMode), "write key")
+	f.publicKey = publicKey
+	f.keyFile = filepath.Join(f.config.Folder, "operator.key")
+	return errors.Wrap(os.WriteFile(f.keyFile, []byte(privateKey), fileMode), "write key")
 }
 
-// run starts a process and remembers it for Stop.
-func (f *Fleet) run(name, binary string, args ...string) error {
+// startProcess starts a process and records it for Stop.
+func (f *Fleet) startProcess(name, binary string, args ...string) error {
 	p := &process.Process{Name: name, Binary: binary, Args: args, Folder: f.config.Folder}
 	f.processes[name] = p
 	f.order = append(f.order, name)
@@ -123,9 +123,9 @@
 }
 
 func (f *Fleet) startStores(ctx context.Context) error {
-	stores := []struct{ name, address string }{{"platform", f.layout.platform()}, {"weightstore", f.layout.weights()}, {"kvstore", f.layout.kv()}}
+	stores := []struct{ name, address string }{{"platform", f.layout.platform()}, {"weightstore", f.layout.weightStore()}, {"kvstore", f.layout.kvStore()}}
 	for _, s := range stores {
-		if err := f.run(s.name, f.config.RehearseBinary, s.name, "--listen", s.address); err != nil {
+		if err := f.startProcess(s.name, f.config.RehearseBinary, s.name, "--listen", s.address); err != nil {
 			return err
 		}
 	}
@@ -136,8 +136,8 @@
 	d := f.config.Deployment
 	for i := range d.Engines {
 		name := engineName(i)
-		err := f.run(name, f.config.RehearseBinary, "engine", "--id", name, "--listen", f.layout.engine(i), "--folder", f.layout.data(name),
-			"--model", d.Model, "--weight-store", f.layout.weights(), "--kv-store", f.layout.kv())
+		err := f.startProcess(name, f.config.RehearseBinary, "engine", "--id", name, "--listen", f.layout.engine(i), "--folder", f.layout.dataFolder(name),
+			"--model", d.Model, "--weight-store", f.layout.weightStore(), "--kv-store", f.layout.kvStore())
 		if err != nil {
 			return err
 		}
@@ -155,7 +155,7 @@
 func (f *Fleet) startWorkers(ctx context.Context) error {
 	for i := range f.config.Deployment.Workers {
 		name := workerName(i)
-		if err := f.run(name, f.config.RehearseBinary, "appworker", "--id", name, "--listen", f.layout.worker(i), "--folder", f.layout.data(name)); err != nil {
+		if err := f.startProcess(name, f.config.RehearseBinary, "appworker", "--id", name, "--listen", f.layout.worker(i), "--folder", f.layout.dataFolder(name)); err != nil {
 			return err
 		}
 		machine := platformapi.Machine{ID: name, Role: "application", Address: f.layout.worker(i), Region: f.config.Deployment.Region, Zone: f.config.Deployment.Zone(i)}
@@ -167,16 +167,16 @@
 }
 
 func (f *Fleet) startControl(ctx context.Context) error {
-	for i := range controls {
-		path, err := f.layout.writeControl(i, f.public)
+	for i := range controlCount {
+		path, err := f.layout.writeControl(i, f.publicKey)
 		if err != nil {
 			return err
 		}
-		if err := f.run(controlName(i), f.config.QuinceridgeBinary, "control", "run", "--config", path); err != nil {
+		if err := f.startProcess(controlName(i), f.config.QuinceridgeBinary, "control", "run", "--config", path); err != nil {
 			return err
 		}
 	}
-	for i := range controls {
+	for i := range controlCount {
 		if err := process.AwaitHTTP(ctx, "http://"+f.layout.status(i)+"/readyz"); err != nil {
 			return err
 		}
@@ -190,14 +190,14 @@
 		if err != nil {
 			return err
 		}
-		if err := f.run(routerName(i), f.config.QuinceridgeBinary, "router", "--config", path); err != nil {
+		if err := f.startProcess(routerName(i), f.config.QuinceridgeBinary, "router", "--config", path); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// List changes the platform's list.
+// List adds or updates machines in the platform's list.
 func (f *Fleet) List(ctx context.Context, machines ...platformapi.Machine) error {
 	body, err := json.Marshal(platformapi.List{Machines: machines})
 	if err != nil {
@@ -209,31 +209,32 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "change list")
+		return errors.Wrap(err, "update machine list")
 	}
-	return errors.Wrap(response.Body.Close(), "change list")
+	return errors.Wrap(response.Body.Close(), "update machine list")
 }
 
-// Propose runs the operator's command and waits until the bundle is in force.
+// Propose signs and proposes a bundle and waits until it is in force on all routers.
 func (f *Fleet) Propose(ctx context.Context, b *bundle.Bundle) error {
 	path := filepath.Join(f.config.Folder, fmt.Sprintf("bundle-%d.yaml", b.Version))
 	if err := writeYAML(path, b); err != nil {
 		return err
 	}
-	out, err := f.operator(ctx, "bundle", "propose", path, "--operator", operatorName, "--key", f.key, "--wait", "--timeout", "20s")
+	out, err := f.runOperatorCommand(ctx, "bundle", "propose", path, "--operator", operatorName, "--key", f.keyFile, "--wait", "--timeout", "20s")
 	return errors.Wrapf(err, "propose: %s", out)
 }
 
-// operator runs an operator's command.
-func (f *Fleet) operator(ctx context.Context, args ...string) (string, error) {
+// runOperatorCommand runs the quinceridge program with args against the control group. It returns
+// standard output and standard error combined.
+func (f *Fleet) runOperatorCommand(ctx context.Context, args ...string) (string, error) {
 	args = append(args, "--control", strings.Join(f.layout.controlAddresses(), ","))
 	out, err := exec.CommandContext(ctx, f.config.QuinceridgeBinary, args...).CombinedOutput()
-	return string(out), errors.Wrap(err, "run operator's command")
+	return string(out), errors.Wrap(err, "run operator command")
 }
 
-// RunCallers runs the callers to their end. Their lines go to the progress writer.
+// RunCallers runs the callers until their plan ends and copies their output to Config.Progress.
 func (f *Fleet) RunCallers(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, f.config.Plan.End+callersLimit)
+	ctx, cancel := context.WithTimeout(ctx, f.config.Plan.End+callersTimeout)
 	defer cancel()
 	plan, err := json.Marshal(f.config.Plan)
 	if err != nil {
@@ -241,20 +242,20 @@
 	}
 	command := exec.CommandContext(ctx, f.config.RehearseBinary, "callers", "--deployment", f.config.Deployment.Name,
 		"--plan", string(plan), "--seed", fmt.Sprint(f.config.Seed), "--router", strings.Join(f.layout.routerAddresses(), ","),
-		"--json", f.callersFile())
+		"--json", f.callersReportPath())
 	command.Stdout, command.Stderr = f.config.Progress, f.config.Progress
-	return errors.Wrap(command.Run(), "callers")
+	return errors.Wrap(command.Run(), "run callers")
 }
 
-func (f *Fleet) callersFile() string { return filepath.Join(f.config.Folder, "callers.json") }
+func (f *Fleet) callersReportPath() string { return filepath.Join(f.config.Folder, "callers.json") }
 
-// Stop ends all processes in the reverse order of their start. It returns the
-// names of those that did not stop when asked.
+// Stop stops all processes in the reverse order of their start. It returns the names of those that
+// had to be killed.
 func (f *Fleet) Stop() (stuck []string) {
 	for i := len(f.order) - 1; i >= 0; i-- {
 		p := f.processes[f.order[i]]
-		p.Signal(syscallContinue)
-		if !p.Terminate(stopLimit) {
+		p.Signal(signalResume)
+		if !p.Terminate(stopTimeout) {
 			stuck = append(stuck, p.Name)
 		}
 	}
--- a/internal/fleet/signals.go
+++ b/internal/fleet/signals.go
@@ -2,8 +2,8 @@
 
 import "syscall"
 
-// Signals that freeze a process and let it go on.
+// Signals that suspend and resume a process.
 const (
-	syscallStop     = syscall.SIGSTOP
-	syscallContinue = syscall.SIGCONT
+	signalFreeze = syscall.SIGSTOP
+	signalResume = syscall.SIGCONT
 )
--- a/internal/fleet/summary.go
+++ b/internal/fleet/summary.go
@@ -16,22 +16,22 @@
 	"quinceridge.example/quinceridge/internal/standin/engine"
 )
 
-// Summary is what a run came to.
+// Summary is the result of a run.
 type Summary struct {
 	callers.Tally
 	Deployment string  `json:"deployment"`
 	Seed       uint64  `json:"seed"`
 	Seconds    float64 `json:"seconds"`
-	// DoubleRuns counts calls that may not be repeated and were run again.
+	// DoubleRuns counts repeated runs of calls that must run at most once.
 	DoubleRuns int `json:"double_runs"`
-	// FalseNotRun counts requests that were refused as not run and were run.
+	// FalseNotRun counts requests that were run although they were refused as not run.
 	FalseNotRun int `json:"false_not_run"`
-	// LateWork counts requests that an engine got 3 s and more after it was
-	// listed as leaving.
+	// LateWork counts requests that an engine admitted in a period in which it must not receive new
+	// work because it was listed as leaving.
 	LateWork int     `json:"late_work"`
 	HitRate  float64 `json:"hit_rate"`
-	// WastedRatio is the share of prompt tokens that were computed although a
-	// live engine held them, or for an attempt that was cancelled.
+	// WastedRatio is the share of prompt tokens that were computed although an engine had them
+	// cached, or for an attempt that was cancelled.
 	WastedRatio float64 `json:"wasted_ratio"`
 
 	SteadyP50 float64 `json:"ttft_p50_steady"`
@@ -40,7 +40,7 @@
 	SurgeP50  float64 `json:"ttft_p50_surge"`
 	SurgeP95  float64 `json:"ttft_p95_surge"`
 	SurgeP99  float64 `json:"ttft_p99_surge"`
-	// TokenGapP95 is the time between tokens for 95 in 100 answers.
+	// TokenGapP95 is the 95th percentile over responses of the mean time between tokens, in seconds.
 	TokenGapP95 float64                    `json:"token_gap_p95"`
 	TTFT        map[string]callers.Latency `json:"ttft"`
 	Stuck       []string                   `json:"stuck,omitempty"`
@@ -49,14 +49,14 @@
 	FaultCounts map[string]int             `json:"fault_counts,omitempty"`
 }
 
-// Passed tells whether every promise about answers was kept.
+// Passed reports whether all checks of the responses succeeded and all processes stopped in time.
 func (s *Summary) Passed() bool {
 	return s.Lost == 0 && s.IncompleteStreams == 0 && s.Wrong == 0 && s.DoubleRuns == 0 && s.FalseNotRun == 0 && s.LateWork == 0 && len(s.Stuck) == 0
 }
 
-// Summarize reads what a stopped fleet left.
+// Summarize computes the summary of a stopped fleet from the callers' report and the journals.
 func (f *Fleet) Summarize() (*Summary, error) {
-	data, err := os.ReadFile(f.callersFile())
+	data, err := os.ReadFile(f.callersReportPath())
 	if err != nil {
 		return nil, errors.Wrap(err, "read callers' report")
 	}
@@ -69,21 +69,21 @@
 	steady, surge := report.TTFT["steady"], report.TTFT["surge"]
 	s.SteadyP50, s.SteadyP95, s.SteadyP99 = steady.P50, steady.P95, steady.P99
 	s.SurgeP50, s.SurgeP95, s.SurgeP99 = surge.P50, surge.P95, surge.P99
-	if err := f.addRuns(s, &report); err != nil {
+	if err := f.addApplicationRuns(s, &report); err != nil {
 		return nil, err
 	}
-	return s, f.addCache(s, &report)
+	return s, f.addCacheUse(s, &report)
 }
 
-// readJournals calls take for each line of the named file in every folder that
-// matches.
-func readJournals[T any](folder, pattern, name string, take func(T)) error {
+// readJournals calls visit for each entry of the journals with the given name, in all data folders
+// that match the pattern.
+func readJournals[T any](folder, pattern, name string, visit func(T)) error {
 	files, err := filepath.Glob(filepath.Join(folder, "data", pattern, name))
 	if err != nil {
 		return errors.Wrap(err, "find journals")
 	}
 	for _, file := range files {
-		if err := readJournal(file, take); err != nil {
+		if err := readJournal(file, visit); err != nil {
 			return err
 		}
 	}
@@ -92,7 +92,7 @@
 
 const maxJournalLine = 16 << 20
 
-func readJournal[T any](path string, take func(T)) error {
+func readJournal[T any](path string, visit func(T)) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return errors.Wrap(err, "open journal")
@@ -103,15 +103,16 @@
 	for lines.Scan() {
 		var line T
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
-			continue // a kill may have cut the last line
+			continue // a killed process may leave a partial last line
 		}
-		take(line)
+		visit(line)
 	}
 	return errors.Wrap(lines.Err(), "read journal")
 }
 
-// addRuns checks the application workers' runs against the callers' answers.
-func (f *Fleet) addRuns(s *Summary, report *callers.Report) error {
+// addApplicationRuns compares the application workers' runs with the responses that callers
+// received.
+func (f *Fleet) addApplicationRuns(s *Summary, report *callers.Report) error {
 	runs := map[string]int{}
 	err := readJournals(f.config.Folder, "worker-*", appworker.JournalName, func(r appworker.Run) {
 		if r.Key != "" {
@@ -139,8 +140,9 @@
 	return nil
 }
 
-// addCache replays the engines' journals: what was cached where at each time.
-func (f *Fleet) addCache(s *Summary, report *callers.Report) error {
+// addCacheUse replays the engines' journals in the order of time, to compute the use of the caches
+// and to count the work that engines must not have received.
+func (f *Fleet) addCacheUse(s *Summary, report *callers.Report) error {
 	var records []engine.Record
 	err := readJournals(f.config.Folder, "engine-*", engine.JournalName, func(r engine.Record) { records = append(records, r) })
 	if err != nil {
@@ -149,7 +151,7 @@
 	sort.SliceStable(records, func(i, j int) bool { return records[i].At < records[j].At })
 	index := newCacheIndex()
 	for i := range records {
-		index.take(&records[i])
+		index.apply(&records[i])
 		if records[i].Kind == engine.RecordAdmit && f.wasLeaving(records[i].Engine, time.UnixMicro(records[i].At)) {
 			s.LateWork++
 		}
@@ -166,11 +168,11 @@
 	return nil
 }
 
-// wasLeaving tells whether an engine must have got no new work at a time.
+// wasLeaving reports whether the given time is in a leaving window of the engine.
 func (f *Fleet) wasLeaving(name string, at time.Time) bool {
 	f.leavingMu.Lock()
 	defer f.leavingMu.Unlock()
-	for _, l := range f.leavings {
+	for _, l := range f.leavingWindows {
 		if l.engine == name && at.After(l.from) && at.Before(l.to) {
 			return true
 		}
@@ -178,7 +180,7 @@
 	return false
 }
 
-// cacheIndex follows which engine holds which block.
+// cacheIndex tracks which engine has which block cached.
 type cacheIndex struct {
 	holders  map[uint64]int
 	blocks   map[string]map[uint64]bool // by engine
@@ -192,7 +194,8 @@
 	return &cacheIndex{holders: map[uint64]int{}, blocks: map[string]map[uint64]bool{}, admitted: map[string]int{}}
 }
 
-func (x *cacheIndex) take(r *engine.Record) {
+// apply updates the index and the counts of tokens with one journal entry.
+func (x *cacheIndex) apply(r *engine.Record) {
 	switch r.Kind {
 	case engine.RecordStart:
 		for block := range x.blocks[r.Engine] {
@@ -200,7 +203,7 @@
 		}
 		x.blocks[r.Engine] = map[uint64]bool{}
 	case engine.RecordCache:
-		x.change(r)
+		x.updateBlocks(r)
 	case engine.RecordAdmit:
 		x.prompt += r.Prompt
 		x.cached += r.Cached
@@ -215,7 +218,7 @@
 	}
 }
 
-func (x *cacheIndex) change(r *engine.Record) {
+func (x *cacheIndex) updateBlocks(r *engine.Record) {
 	held := x.blocks[r.Engine]
 	if held == nil {
 		held = map[uint64]bool{}
