--- a/internal/experiment/engines.go
+++ b/internal/experiment/engines.go
@@ -11,14 +11,14 @@
 	"quinceridge.example/quinceridge/internal/scheduling"
 )
 
-// Delays of the network and of failure detection.
+// Delays of the network, of failure detection and of restarts.
 const (
-	hop = time.Millisecond
-	// resetDelay is how soon a router notices that a process died, and
-	// silentDelay that a whole zone is gone.
-	resetDelay  = 5 * time.Millisecond
-	silentDelay = 500 * time.Millisecond
-	downTime    = 2 * time.Second
+	hopDelay = time.Millisecond
+	// resetDetectionDelay is the time in which a router detects a crashed process by its connection
+	// resets, and zoneLossDetectionDelay the time in which it detects a lost zone.
+	resetDetectionDelay    = 5 * time.Millisecond
+	zoneLossDetectionDelay = 500 * time.Millisecond
+	crashDowntime          = 2 * time.Second
 )
 
 // simulatedEngine is one engine of a run.
@@ -29,24 +29,24 @@
 	model       *enginemodel.Engine
 	slots       int
 	down        bool
-	silent      bool // down without resets
-	running     map[string]*flight
+	unreachable bool // down without sending connection resets
+	running     map[string]*simulatedRequest
 	// wakeAt is the time of the scheduled step, or 0.
 	wakeAt time.Duration
 	blocks map[uint64]bool
-	// known is the load when it was last asked for; changed says that it is out
-	// of date.
-	known   enginemodel.Load
-	changed bool
+	// cachedLoad is the result of the last call of model.Load, and loadStale whether the load may have
+	// changed since.
+	cachedLoad enginemodel.Load
+	loadStale  bool
 }
 
-// load returns the engine's load. It is costly to make and often asked for.
+// load returns the engine's load. It caches the result because model.Load is expensive.
 func (e *simulatedEngine) load() enginemodel.Load {
-	if e.changed {
-		e.known = e.model.Load()
-		e.changed = false
+	if e.loadStale {
+		e.cachedLoad = e.model.Load()
+		e.loadStale = false
 	}
-	return e.known
+	return e.cachedLoad
 }
 
 func (e *simulatedEngine) machine(model, region string) controlapi.Machine {
@@ -54,7 +54,8 @@
 		Incarnation: strconv.Itoa(e.incarnation), Model: model, WeightsVersion: 1, DecodeSlots: e.slots}
 }
 
-// trueWait is the time in queue that new work has now.
+// trueWait returns the queueing time of a request that arrives now, estimated from the engine's
+// current load. prefillRate is in tokens per second.
 func (e *simulatedEngine) trueWait(prefillRate float64) time.Duration {
 	load := e.load()
 	wait := time.Duration(float64(load.PrefillTokens) / prefillRate * float64(time.Second))
@@ -64,20 +65,20 @@
 	return wait
 }
 
-// step runs the engine's model and schedules the next step.
+// step advances the engine's model to the current time and schedules its next step.
 func (s *simulation) step(e *simulatedEngine) {
 	if e.down {
 		return
 	}
 	out := e.model.Step(s.now())
-	e.changed = true
+	e.loadStale = true
 	for _, token := range out.Tokens {
 		s.token(e, token)
 	}
 	for _, admitted := range out.Admitted {
 		s.admitted(e, admitted)
 	}
-	s.cacheEvents(e, out.Events)
+	s.applyCacheEvents(e, out.Events)
 	if out.Next > 0 && out.Next != e.wakeAt {
 		e.wakeAt = out.Next
 		incarnation := e.incarnation
@@ -89,10 +90,10 @@
 	}
 }
 
-func (s *simulation) cacheEvents(e *simulatedEngine, events []enginemodel.CacheEvent) {
-	s.publish(e, events)
+func (s *simulation) applyCacheEvents(e *simulatedEngine, events []enginemodel.CacheEvent) {
+	s.publishHeads(e, events)
 	for _, event := range events {
-		s.metrics.changed(event.Depth)
+		s.metrics.blockChanged(event.Depth)
 		if event.Stored {
 			e.blocks[event.Block] = true
 			s.holders[event.Block]++
@@ -103,9 +104,9 @@
 	}
 }
 
-// publish brings the heads among the events to the directory, late and with
-// gaps.
-func (s *simulation) publish(e *simulatedEngine, events []enginemodel.CacheEvent) {
+// publishHeads applies the events of head blocks to the directory, after EventLag and with a loss of
+// EventLoss.
+func (s *simulation) publishHeads(e *simulatedEngine, events []enginemodel.CacheEvent) {
 	if s.options.NoDirectory {
 		return
 	}
@@ -126,7 +127,8 @@
 	}
 }
 
-// admitted counts what was cached and what was computed in vain.
+// admitted records the tokens that were cached, and those that are computed although an engine has
+// them cached.
 func (s *simulation) admitted(e *simulatedEngine, a enginemodel.Admitted) {
 	f := e.running[a.Request.ID]
 	if f == nil {
@@ -150,21 +152,21 @@
 	f.generated = token.Index + 1
 	if !f.started {
 		f.started = true
-		s.metrics.firstToken(f, s.now()+2*hop)
+		s.metrics.firstToken(f, s.now()+2*hopDelay)
 	}
 	if token.Last {
 		delete(e.running, token.ID)
-		s.queue.After(hop, func() { s.answered(f, e.id) })
+		s.queue.After(hopDelay, func() { s.answered(f, e.id) })
 	}
 }
 
-// crash stops an engine. Its requests are placed again once their routers
-// notice.
-func (s *simulation) crash(e *simulatedEngine, silent bool) {
+// crash stops an engine and clears its cache. Its requests are placed again after the detection
+// delay. unreachable means that the engine sends no connection resets.
+func (s *simulation) crash(e *simulatedEngine, unreachable bool) {
 	if e.down {
 		return
 	}
-	e.down, e.silent = true, silent
+	e.down, e.unreachable = true, unreachable
 	e.incarnation++
 	for block := range e.blocks {
 		s.holders[block]--
@@ -172,21 +174,21 @@
 	e.blocks = map[uint64]bool{}
 	s.directory.Forget(scheduling.EndpointKey(e.id))
 	lost := e.running
-	e.running = map[string]*flight{}
-	delay := resetDelay
-	if silent {
-		delay = silentDelay
+	e.running = map[string]*simulatedRequest{}
+	delay := resetDetectionDelay
+	if unreachable {
+		delay = zoneLossDetectionDelay
 	}
 	for _, id := range sortedKeys(lost) {
 		f := lost[id]
-		s.queue.After(delay, func() { s.failed(f, e) })
+		s.queue.After(delay, func() { s.engineFailed(f, e) })
 	}
 }
 
-// recover brings an engine back with an empty cache.
+// recover starts a crashed engine with an empty cache.
 func (s *simulation) recover(e *simulatedEngine) {
-	e.down, e.silent = false, false
+	e.down, e.unreachable = false, false
 	e.model = enginemodel.New(s.options.Engine)
 	e.wakeAt = 0
-	e.changed = true
+	e.loadStale = true
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -25,38 +25,38 @@
 	return result
 }
 
-func TestEqualSeedsGiveEqualFigures(t *testing.T) {
+func TestSimulateIsDeterministic(t *testing.T) {
 	for _, scenario := range []string{"crash", "lag"} {
 		assert.DeepEqual(t, simulate(t, "grocery", scenario, Affinity, 3), simulate(t, "grocery", scenario, Affinity, 3))
 	}
 }
 
-// TestPlacementStaysNearTheBound keeps what docs/BENCH.md reports, in virtual
-// time, where every run gives the same figure.
-func TestPlacementStaysNearTheBound(t *testing.T) {
+// TestAffinityHitRateIsNearOracle guards against a loss of cache hits by the affinity policy when the
+// popular documents change.
+func TestAffinityHitRateIsNearOracle(t *testing.T) {
 	for _, name := range deployment.Names() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			ours, bound := simulate(t, name, "shift", Affinity, 1), simulate(t, name, "shift", Oracle, 1)
-			assert.Assert(t, ours.HitRate > bound.HitRate-0.02, "hit rate %v, bound %v", ours.HitRate, bound.HitRate)
-			assert.Assert(t, ours.WastedRatio < 0.02, "wasted %v", ours.WastedRatio)
+			affinity, oracle := simulate(t, name, "shift", Affinity, 1), simulate(t, name, "shift", Oracle, 1)
+			assert.Assert(t, affinity.HitRate > oracle.HitRate-0.02, "hit rate %v, bound %v", affinity.HitRate, oracle.HitRate)
+			assert.Assert(t, affinity.WastedRatio < 0.02, "wasted %v", affinity.WastedRatio)
 		})
 	}
 }
 
-func TestAHerdOfRestartsCostsNoHits(t *testing.T) {
-	herd, calm := simulate(t, "pago", "herd", Affinity, 1), simulate(t, "pago", "surge", Affinity, 1)
-	assert.Assert(t, herd.SurgeHitRate > calm.SurgeHitRate-0.01, "%v and %v", herd.SurgeHitRate, calm.SurgeHitRate)
+func TestAffinityKeepsHitRateWhenRoutersRestart(t *testing.T) {
+	restarted, baseline := simulate(t, "pago", "herd", Affinity, 1), simulate(t, "pago", "surge", Affinity, 1)
+	assert.Assert(t, restarted.SurgeHitRate > baseline.SurgeHitRate-0.01, "%v and %v", restarted.SurgeHitRate, baseline.SurgeHitRate)
 }
 
-func TestOverloadIsRefusedNotQueued(t *testing.T) {
+func TestAdmissionRefusesRequestsUnderOverload(t *testing.T) {
 	result := simulate(t, "pago", "overload", Affinity, 1)
 	assert.Assert(t, result.Refused > 0)
 	assert.Assert(t, result.SurgeP99 < 6, "p99 %v", result.SurgeP99)
 	assert.Equal(t, result.Answered+result.Refused, result.Requests)
 }
 
-func TestEveryRequestIsAnsweredAfterLosses(t *testing.T) {
+func TestRequestsAreAnsweredWhenEnginesFail(t *testing.T) {
 	for _, scenario := range []string{"crash", "zone-loss"} {
 		result := simulate(t, "pago", scenario, Affinity, 2)
 		assert.Equal(t, result.Answered, result.Requests)
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -21,7 +21,7 @@
 // Policies lists all policies in the order of reports.
 func Policies() []string { return []string{RoundRobin, LeastLoad, Hash, Affinity, Oracle} }
 
-// newPolicy returns the policy of one router.
+// newPolicy returns a new policy for the router with the given index.
 func (s *simulation) newPolicy(router int) (scheduling.Policy, error) {
 	switch s.options.Policy {
 	case RoundRobin:
@@ -35,31 +35,30 @@
 		config.Routers = len(s.routers)
 		return scheduling.NewAffinity(config), nil
 	case Oracle:
-		return &allKnowing{simulation: s}, nil
+		return &oracle{simulation: s}, nil
 	}
 	return nil, errors.Newf("no such policy: %q; known: %v", s.options.Policy, Policies())
 }
 
-// allKnowing sees every engine's true cache and queue at the time of the
-// decision and takes the least cost. It is greedy: it does not know the future.
-type allKnowing struct{ simulation *simulation }
+// oracle picks the engine with the least cost from the exact caches and queues at the time of the
+// decision. It is greedy: it takes no account of later requests.
+type oracle struct{ simulation *simulation }
 
-// allKnowingPenalty weighs recomputation against waiting. Of 1, 1.5, 3 and 6 it
-// gave the bound with the best tails.
-const allKnowingPenalty = 3
+// recomputationPenalty is the weight of prefill time relative to queueing time in the oracle's cost.
+const recomputationPenalty = 3
 
-func (*allKnowing) Name() string { return Oracle }
+func (*oracle) Name() string { return Oracle }
 
 // Pick implements scheduling.Policy.
-func (a *allKnowing) Pick(_ time.Duration, r *scheduling.Request, _ *scheduling.Snapshot) (scheduling.Decision, error) {
+func (o *oracle) Pick(_ time.Duration, r *scheduling.Request, _ *scheduling.Snapshot) (scheduling.Decision, error) {
 	best, bestCost, bestCached := -1, 0.0, 0
-	for i, e := range a.simulation.engines {
+	for i, e := range o.simulation.engines {
 		if e.down {
 			continue
 		}
 		cached := e.model.Match(r.Chain) * prefix.BlockTokens
-		missing := float64(r.PromptTokens - cached)
-		cost := e.trueWait(a.simulation.prefillRate).Seconds() + missing/a.simulation.prefillRate*allKnowingPenalty
+		uncachedTokens := float64(r.PromptTokens - cached)
+		cost := e.trueWait(o.simulation.prefillRate).Seconds() + uncachedTokens/o.simulation.prefillRate*recomputationPenalty
 		if best < 0 || cost < bestCost {
 			best, bestCost, bestCached = i, cost, cached
 		}
@@ -67,9 +66,9 @@
 	if best < 0 {
 		return scheduling.Decision{}, scheduling.ErrNoEndpoint
 	}
-	e := a.simulation.engines[best]
-	return scheduling.Decision{Endpoint: scheduling.Endpoint{ID: e.id, Wait: e.trueWait(a.simulation.prefillRate)}, ExpectedCached: bestCached, Cost: bestCost}, nil
+	e := o.simulation.engines[best]
+	return scheduling.Decision{Endpoint: scheduling.Endpoint{ID: e.id, Wait: e.trueWait(o.simulation.prefillRate)}, ExpectedCached: bestCached, Cost: bestCost}, nil
 }
 
 // Answered implements scheduling.Policy.
-func (*allKnowing) Answered(time.Duration, *scheduling.Request, string, int) {}
+func (*oracle) Answered(time.Duration, *scheduling.Request, string, int) {}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -14,14 +14,15 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Sizes of plots.
+// Size of the plots, and mode of the report file.
 const (
-	plotWidth  = 20 * vg.Centimeter
-	plotHeight = 9 * vg.Centimeter
-	reportMode = 0o644
+	plotWidth      = 20 * vg.Centimeter
+	plotHeight     = 9 * vg.Centimeter
+	reportFileMode = 0o644
 )
 
-// Report writes a page with the table and the plots into a folder.
+// Report writes a Markdown page with the table and the plots into a folder, which it creates if
+// needed.
 func (f *StudyResult) Report(folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return errors.Wrap(err, "create report folder")
@@ -40,7 +41,7 @@
 		fmt.Fprintf(&page, "## %s\n\nThe scenario: %s.\n\n![95th percentile of the time to first token, by second](%s)\n\n", scenario, conditions.Description, name)
 	}
 	path := filepath.Join(folder, f.Deployment+".md")
-	return errors.Wrap(os.WriteFile(path, []byte(page.String()), reportMode), "write report")
+	return errors.Wrap(os.WriteFile(path, []byte(page.String()), reportFileMode), "write report")
 }
 
 func (f *StudyResult) scenarios() []string {
@@ -53,10 +54,10 @@
 	return names
 }
 
-// shortestShown keeps the logarithmic axis from zero, in seconds.
-const shortestShown = 0.001
+// minPlottedSeconds is the least plotted value, because a logarithmic axis cannot show zero.
+const minPlottedSeconds = 0.001
 
-// plotTimeline draws the tail of each policy over the run of the first seed.
+// plotTimeline plots the timeline of each policy in the run of the first seed.
 func (f *StudyResult) plotTimeline(scenario, path string) error {
 	p := plot.New()
 	p.Title.Text = f.Deployment + ", " + scenario + ": p95 time to first token by second, first seed"
@@ -67,10 +68,10 @@
 	p.BackgroundColor = color.White
 	p.Legend.Top = true
 	p.Legend.Left = true
-	for i, row := range f.rowsOf(scenario) {
+	for i, row := range f.rowsForScenario(scenario) {
 		line, err := plotter.NewLine(points(row.Mean.Timeline))
 		if err != nil {
-			return errors.Wrap(err, "make line")
+			return errors.Wrap(err, "create line")
 		}
 		line.Color = plotutil.Color(i)
 		line.Width = vg.Points(1.2)
@@ -80,7 +81,7 @@
 	return errors.Wrap(p.Save(plotWidth, plotHeight, path), "save plot")
 }
 
-func (f *StudyResult) rowsOf(scenario string) []*Row {
+func (f *StudyResult) rowsForScenario(scenario string) []*Row {
 	var rows []*Row
 	for _, row := range f.Rows {
 		if row.Scenario == scenario {
@@ -94,7 +95,7 @@
 	var out plotter.XYs
 	for second, value := range timeline {
 		if value >= 0 {
-			out = append(out, plotter.XY{X: float64(second), Y: max(value, shortestShown)})
+			out = append(out, plotter.XY{X: float64(second), Y: max(value, minPlottedSeconds)})
 		}
 	}
 	return out
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -1,6 +1,6 @@
-// Package experiment is the bench: it runs the product's placement, membership
-// and admission code over the engine model in virtual time, beside baselines
-// and an all-knowing bound. Equal seeds give equal figures on every machine.
+// Package experiment compares placement policies in simulation. It runs the placement, membership and
+// admission code of the product against the engine model in virtual time, with baseline policies and
+// an oracle for comparison. Runs with the same seed give the same results on every machine.
 package experiment
 
 import (
@@ -13,65 +13,67 @@
 
 // Times of a run.
 const (
-	// warmUp is left out of all figures.
-	warmUp     = 15 * time.Second
-	surgeStart = 30 * time.Second
-	surgeEnd   = 50 * time.Second
-	runEnd     = 75 * time.Second
-	middle     = (surgeStart + surgeEnd) / 2
+	// warmUp is excluded from the metrics.
+	warmUp      = 15 * time.Second
+	surgeStart  = 30 * time.Second
+	surgeEnd    = 50 * time.Second
+	runEnd      = 75 * time.Second
+	surgeMiddle = (surgeStart + surgeEnd) / 2
 )
 
-// Conditions are what a scenario brings about.
+// Conditions describes a scenario: its load, faults, delays and losses.
 type Conditions struct {
 	Name string
-	// Description says it in a sentence, for reports.
+	// Description is a short text for reports.
 	Description string
 	Plan        workload.Plan
-	// ReportLag is the age of load reports when routers get them, and
-	// ReportLoss the share that never comes.
+	// ReportLag is the age of load reports when routers receive them, and ReportLoss the share of
+	// reports that are lost.
 	ReportLag  time.Duration
 	ReportLoss float64
-	// EventLag is how late cache events come, and EventLoss the share of them
-	// that never does.
+	// EventLag is the delay of cache events, and EventLoss the share of events that are lost.
 	EventLag  time.Duration
 	EventLoss float64
-	// HintLoss is the share of answers that placement never hears of.
+	// HintLoss is the share of responses that are not reported to the placement policy.
 	HintLoss float64
-	// Crashes is how many of ten engines crash in turn during the surge.
+	// Crashes is the number of engines in ten that crash one after another during the surge.
 	Crashes int
-	// RestartRoutersAt is when all routers restart. Zero means never.
+	// RestartRoutersAt is the time at which all routers restart. Zero means never.
 	RestartRoutersAt time.Duration
-	// ZoneLostAt is when a zone's engines are gone for good.
+	// ZoneLostAt is the time at which all engines of a zone are lost for the rest of the run. Zero
+	// means never.
 	ZoneLostAt time.Duration
-	// Admission refuses early. Without it everything is queued, so that the
-	// tails of policies can be compared.
+	// Admission enables admission control. Without it all requests are queued, so that the tail
+	// latencies of policies can be compared.
 	Admission bool
 }
 
-// Ordinary lateness and gaps.
+// Default delays and losses.
 const (
-	ordinaryLag  = 500 * time.Millisecond
-	ordinaryWait = 1500 * time.Millisecond
-	ordinaryLoss = 0.1
+	defaultReportLag = 500 * time.Millisecond
+	defaultEventLag  = 1500 * time.Millisecond
+	defaultEventLoss = 0.1
 )
 
-func plan(shift time.Duration, demand float64) workload.Plan {
+// surgePlan returns a plan with a surge, and a change of the popular documents at shift unless that
+// is zero. demand is a factor on the rates.
+func surgePlan(shift time.Duration, demand float64) workload.Plan {
 	return workload.Plan{SurgeStart: surgeStart, SurgeEnd: surgeEnd, ShiftAt: shift, End: runEnd, Demand: demand}
 }
 
-// scenarios lists all scenarios in the order of reports.
+// scenarios lists all scenarios in the order in which reports show them.
 var scenarios = []Conditions{
-	{Name: "steady", Description: "no surge", Plan: workload.Plan{End: runEnd}, ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss},
-	{Name: "surge", Description: "three times the steady rate for 20 s", Plan: plan(0, 1), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss},
-	{Name: "shift", Description: "the surge, and other documents become hot in its middle", Plan: plan(middle, 1), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss},
-	{Name: "herd", Description: "the surge, and all routers restart in its middle", Plan: plan(0, 1), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss, RestartRoutersAt: middle},
-	{Name: "crash", Description: "the surge, and three of ten engines crash in turn and come back empty after 2 s", Plan: plan(0, 1), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss, Crashes: 3},
-	{Name: "lag", Description: "the shift, with load reports 2 s late and a third of reports and answers' hints lost", Plan: plan(middle, 1), ReportLag: 2 * time.Second, ReportLoss: 0.33, EventLag: 5 * time.Second, EventLoss: 0.33, HintLoss: 0.33},
-	{Name: "overload", Description: "the surge at twice its rate, with early refusal", Plan: plan(0, 2), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss, Admission: true},
-	{Name: "zone-loss", Description: "the surge, and one zone is gone from its middle on", Plan: plan(0, 1), ReportLag: ordinaryLag, EventLag: ordinaryWait, EventLoss: ordinaryLoss, ZoneLostAt: middle},
+	{Name: "steady", Description: "no surge", Plan: workload.Plan{End: runEnd}, ReportLag: defaultReportLag, EventLag: defaultEventLag, EventLoss: defaultEventLoss},
+	{Name: "surge", Description: "three times the steady rate for 20 s", Plan: surgePlan(0, 1), ReportLag: defaultReportLag, EventLag: defaultEventLag, EventLoss: defaultEventLoss},
+	{Name: "shift", Description: "the surge, and other documents become hot in its middle", Plan: surgePlan(surgeMiddle, 1), ReportLag: defaultReportLag, EventLag: defaultEventLag, EventLoss: defaultEventLoss},
+	{Name: "herd", Description: "the surge, and all routers restart in its middle", Plan: surgePlan(0, 1), ReportLag: defaultReportLag, EventLag: defaultEventLag, EventLoss: defaultEventLoss, RestartRoutersAt: surgeMiddle},
+	{Name: "crash", Description: "the surge, and three of ten engines crash in turn and come back empty after 2 s", Plan: surgePlan(0, 1), ReportLag: defaultReportLag, EventLag: defaultEventLag, EventLoss: defaultEventLoss, Crashes: 3},
+	{Name: "lag", Description: "the shift, with load reports 2 s late and a third of reports and answers' hints lost", Plan: surgePlan(surgeMiddle, 1), ReportLag: 2 * time.Second, ReportLoss: 0.33, EventLag: 5 * time.Second, EventLoss: 0.33, HintLoss: 0.33},
+	{Name: "overload", Description: "the surge at twice its rate, with early refusal", Plan: surgePlan(0, 2), ReportLag: defaultReportLag, EventLag: defaultEventLag, EventLoss: defaultEventLoss, Admission: true},
+	{Name: "zone-loss", Description: "the surge, and one zone is gone from its middle on", Plan: surgePlan(0, 1), ReportLag: defaultReportLag, EventLag: defaultEventLag, EventLoss: defaultEventLoss, ZoneLostAt: surgeMiddle},
 }
 
-// Scenarios lists the names of the scenarios.
+// Scenarios returns the names of all scenarios.
 func Scenarios() []string {
 	names := make([]string, 0, len(scenarios))
 	for _, s := range scenarios {
@@ -80,7 +82,7 @@
 	return names
 }
 
-// FindScenario returns a scenario by its name.
+// FindScenario returns the scenario with the given name, or an error if there is none.
 func FindScenario(name string) (Conditions, error) {
 	for _, s := range scenarios {
 		if s.Name == name {
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -20,7 +20,7 @@
 	"quinceridge.example/quinceridge/internal/workload"
 )
 
-// Options say what one run does.
+// Options configures one run.
 type Options struct {
 	Deployment deployment.Deployment
 	Conditions Conditions
@@ -28,16 +28,16 @@
 	Seed       uint64
 	Engine     enginemodel.Config
 	Affinity   scheduling.Config
-	// PrivatePrompts takes no prompt as shared between tenants.
+	// PrivatePrompts treats no prompt as shared between tenants.
 	PrivatePrompts bool
-	// NoDirectory leaves out the directory of cache events.
+	// NoDirectory disables the directory of cache events.
 	NoDirectory bool
 }
 
-// reportInterval is the time between two load reports.
+// reportInterval is the time between load reports.
 const reportInterval = 250 * time.Millisecond
 
-// maxPlacements bounds how often a request is placed.
+// maxPlacements is the maximum number of placements of a request.
 const maxPlacements = 20
 
 // simulatedRouter is one router of a run.
@@ -47,8 +47,8 @@
 	admission *flowcontrol.Controller
 }
 
-// flight is one request on its way.
-type flight struct {
+// simulatedRequest is one request of a run and its progress.
+type simulatedRequest struct {
 	request    workload.Request
 	place      scheduling.Request
 	class      deployment.Class
@@ -59,7 +59,7 @@
 	started    bool
 }
 
-// simulation is one run. Everything happens on one goroutine.
+// simulation is the state of one run. It is used by one goroutine only.
 type simulation struct {
 	options   Options
 	queue     virtualtime.Queue
@@ -68,15 +68,16 @@
 	engines   []*simulatedEngine
 	byID      map[string]*simulatedEngine
 	routers   []*simulatedRouter
-	holders   map[uint64]int
-	// directory is what all routers have from the engines' events.
+	// holders is the number of live engines that have a block cached.
+	holders map[uint64]int
+	// directory is the index of cached blocks that all routers share, built from cache events.
 	directory   *scheduling.Directory
 	metrics     *metrics
 	prefillRate float64
 	placements  uint64
 }
 
-// Simulate runs one policy under one seed.
+// Simulate runs one policy in one scenario with one seed, in virtual time.
 func Simulate(ctx context.Context, options Options) (*Result, error) {
 	s := &simulation{options: options, random: rand.New(rand.NewPCG(options.Seed, 7)), byID: map[string]*simulatedEngine{},
 		holders: map[uint64]int{}, directory: scheduling.NewDirectory(), metrics: newMetrics(options), prefillRate: options.Engine.PrefillTokensPerSecond()}
@@ -98,7 +99,7 @@
 	d := s.options.Deployment
 	for i := range d.Engines {
 		e := &simulatedEngine{id: fmt.Sprintf("engine-%03d", i), zone: d.Zone(i), model: enginemodel.New(s.options.Engine),
-			slots: s.options.Engine.DecodeSlots, running: map[string]*flight{}, blocks: map[uint64]bool{}}
+			slots: s.options.Engine.DecodeSlots, running: map[string]*simulatedRequest{}, blocks: map[uint64]bool{}}
 		s.engines = append(s.engines, e)
 		s.byID[e.id] = e
 	}
@@ -111,7 +112,7 @@
 		s.routers[i] = router
 	}
 	s.queue.At(0, s.arrive)
-	s.queue.At(0, s.report)
+	s.queue.At(0, s.collectReports)
 	s.scheduleFaults()
 	return nil
 }
@@ -157,11 +158,11 @@
 		when := surgeStart + (surgeEnd-surgeStart)*time.Duration(i+1)/time.Duration(crashes+1)
 		e := s.engines[i*len(s.engines)/crashes]
 		s.queue.At(when, func() { s.crash(e, false) })
-		s.queue.At(when+downTime, func() { s.recover(e) })
+		s.queue.At(when+crashDowntime, func() { s.recover(e) })
 	}
 }
 
-// restartRouters gives every router an empty memory.
+// restartRouters replaces every router by one without state.
 func (s *simulation) restartRouters() {
 	for i := range s.routers {
 		if router, err := s.newRouter(i); err == nil {
@@ -170,29 +171,29 @@
 	}
 }
 
-// report takes the engines' load and gives it to the routers later.
-func (s *simulation) report() {
+// collectReports records the load of the engines and schedules its delivery to the routers.
+func (s *simulation) collectReports() {
 	c := s.options.Conditions
 	rows := make([]controlapi.LoadRow, len(s.engines))
-	known := make([]bool, len(s.engines))
+	delivered := make([]bool, len(s.engines))
 	for i, e := range s.engines {
 		load := e.load()
 		rows[i] = controlapi.LoadRow{controlapi.LoadRunning: load.Running, controlapi.LoadWaiting: load.Waiting, controlapi.LoadPrefillTokens: load.PrefillTokens}
-		known[i] = !e.down && s.random.Float64() >= c.ReportLoss
+		delivered[i] = !e.down && s.random.Float64() >= c.ReportLoss
 	}
-	s.queue.After(c.ReportLag, func() { s.giveReports(rows, known, c.ReportLag) })
+	s.queue.After(c.ReportLag, func() { s.deliverReports(rows, delivered, c.ReportLag) })
 	if s.now() < s.options.Conditions.Plan.End {
-		s.queue.After(reportInterval, s.report)
+		s.queue.After(reportInterval, s.collectReports)
 	}
 }
 
-func (s *simulation) giveReports(rows []controlapi.LoadRow, known []bool, age time.Duration) {
+func (s *simulation) deliverReports(rows []controlapi.LoadRow, delivered []bool, age time.Duration) {
 	machines := s.machines()
 	for _, router := range s.routers {
 		router.pool.SetMachines(machines)
 		for i := range rows {
-			if known[i] {
-				// The pool adds the engine's own lag; here the age is whole.
+			if delivered[i] {
+				// The pool adds membership.ReportLag to the age, which already includes it here.
 				rows[i][controlapi.LoadAge] = int((age - membership.ReportLag).Milliseconds())
 				router.pool.SetLoad(s.now(), s.engines[i].id, rows[i])
 			}
@@ -200,7 +201,7 @@
 	}
 }
 
-// arrive takes the next request of the workload.
+// arrive schedules the next request of the workload.
 func (s *simulation) arrive() {
 	request, more := s.generator.Next()
 	if !more {
@@ -215,15 +216,15 @@
 }
 
 func (s *simulation) receive(request workload.Request) {
-	f := &flight{request: request, class: s.options.Deployment.Class(request.Kind.Class), router: s.random.IntN(len(s.routers))}
+	f := &simulatedRequest{request: request, class: s.options.Deployment.Class(request.Kind.Class), router: s.random.IntN(len(s.routers))}
 	chain, tokens := request.Chain(!s.options.PrivatePrompts)
 	f.place = scheduling.Request{Model: s.options.Deployment.Model, Chain: chain, PromptTokens: tokens, Tenant: request.Tenant}
 	s.metrics.arrived(f)
 	s.place(f)
 }
 
-// place decides for a request and sends it.
-func (s *simulation) place(f *flight) {
+// place picks an engine for a request and sends it there, or refuses the request.
+func (s *simulation) place(f *simulatedRequest) {
 	router := s.routers[f.router]
 	f.placements++
 	s.placements++
@@ -238,34 +239,34 @@
 	}
 	e := s.byID[decision.Endpoint.ID]
 	router.pool.RecordDispatch(s.now(), e.id, f.place.PromptTokens-decision.ExpectedCached)
-	s.queue.After(2*hop, func() { s.deliver(f, e) })
+	s.queue.After(2*hopDelay, func() { s.deliver(f, e) })
 }
 
-func (s *simulation) admit(router *simulatedRouter, f *flight, decision *scheduling.Decision) bool {
+func (s *simulation) admit(router *simulatedRouter, f *simulatedRequest, decision *scheduling.Decision) bool {
 	if !s.options.Conditions.Admission {
 		return true
 	}
-	missing := f.place.PromptTokens - decision.ExpectedCached
-	prefill := time.Duration(float64(missing) / s.prefillRate * float64(time.Second))
+	uncachedTokens := f.place.PromptTokens - decision.ExpectedCached
+	prefill := time.Duration(float64(uncachedTokens) / s.prefillRate * float64(time.Second))
 	return router.admission.Admit(s.now(), flowcontrol.Request{Tenant: f.request.Tenant, Weight: 1, Priority: f.class.Priority,
-		FirstToken: s.options.Deployment.Patience(f.class), Expected: decision.Endpoint.Wait + prefill, Cost: missing + f.request.Kind.OutputTokens}).Admitted
+		FirstToken: s.options.Deployment.Patience(f.class), Expected: decision.Endpoint.Wait + prefill, Cost: uncachedTokens + f.request.Kind.OutputTokens}).Admitted
 }
 
-// deliver hands a request to an engine.
-func (s *simulation) deliver(f *flight, e *simulatedEngine) {
+// deliver adds a request to an engine. A failed engine or a full one causes another placement.
+func (s *simulation) deliver(f *simulatedRequest, e *simulatedEngine) {
 	if e.down {
-		delay := resetDelay
-		if e.silent {
-			delay = silentDelay
+		delay := resetDetectionDelay
+		if e.unreachable {
+			delay = zoneLossDetectionDelay
 		}
-		s.queue.After(delay, func() { s.failed(f, e) })
+		s.queue.After(delay, func() { s.engineFailed(f, e) })
 		return
 	}
 	id := fmt.Sprintf("%d/%d", f.request.Number, f.placements)
 	e.running[id] = f
 	err := e.model.Add(enginemodel.Request{ID: id, Chain: f.place.Chain, PromptTokens: f.place.PromptTokens + f.generated,
 		OutputTokens: f.request.Kind.OutputTokens - f.generated, FirstIndex: f.generated, Priority: f.class.Priority})
-	e.changed = true
+	e.loadStale = true
 	if err != nil {
 		delete(e.running, id)
 		f.place.Excluded = append(f.place.Excluded, e.id)
@@ -275,8 +276,8 @@
 	s.step(e)
 }
 
-// failed places a request again after its engine was lost.
-func (s *simulation) failed(f *flight, e *simulatedEngine) {
+// engineFailed places a request again after its engine failed.
+func (s *simulation) engineFailed(f *simulatedRequest, e *simulatedEngine) {
 	s.routers[f.router].pool.RecordFailure(s.now(), e.id)
 	if !slices.Contains(f.place.Excluded, e.id) {
 		f.place.Excluded = append(f.place.Excluded, e.id)
@@ -284,8 +285,9 @@
 	s.place(f)
 }
 
-// answered tells the router that an answer is whole.
-func (s *simulation) answered(f *flight, engine string) {
+// answered records a complete response in the router's pool, and in its policy unless the hint is
+// lost.
+func (s *simulation) answered(f *simulatedRequest, engine string) {
 	router := s.routers[f.router]
 	router.pool.RecordSuccess(engine)
 	s.metrics.answered()
--- a/internal/experiment/study.go
+++ b/internal/experiment/study.go
@@ -14,10 +14,10 @@
 	"quinceridge.example/quinceridge/internal/scheduling"
 )
 
-// all stands for every scenario or every policy.
+// all selects every scenario or every policy.
 const all = "all"
 
-// Study says which runs to make.
+// Study selects and configures the runs of a study. Scenario and Policy may be "all".
 type Study struct {
 	Deployment deployment.Deployment
 	Scenario   string
@@ -28,13 +28,14 @@
 	Engine     enginemodel.Config
 	Affinity   scheduling.Config
 	Private    bool
-	// NoDirectory leaves out the directory of cache events.
+	// NoDirectory disables the directory of cache events.
 	NoDirectory bool
-	// Admission refuses early in every scenario, as the product does.
+	// Admission enables admission control in every scenario, as in production.
 	Admission bool
 }
 
-// Row is the figures of one policy in one scenario: the mean over the seeds.
+// Row holds the results of one policy in one scenario. Mean holds the mean over the seeds of rates and
+// times, the sum of counts of requests and blocks, and the timeline of the first seed.
 type Row struct {
 	Scenario      string    `json:"scenario"`
 	Policy        string    `json:"policy"`
@@ -43,7 +44,7 @@
 	Runs          []*Result `json:"runs"`
 }
 
-// StudyResult is the outcome of a study.
+// StudyResult is the result of a study.
 type StudyResult struct {
 	Deployment string `json:"deployment"`
 	Engines    int    `json:"engines"`
@@ -53,7 +54,7 @@
 	Rows       []*Row `json:"rows"`
 }
 
-// Run makes all runs of a study, several at once.
+// Run runs a study, with GOMAXPROCS runs in parallel.
 func Run(ctx context.Context, study Study) (*StudyResult, error) {
 	names, policies := Scenarios(), Policies()
 	if study.Scenario != all {
@@ -99,11 +100,11 @@
 func runAll(ctx context.Context, jobs []job) error {
 	var group sync.WaitGroup
 	failures := make([]error, len(jobs))
-	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	semaphore := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i, j := range jobs {
-		slots <- struct{}{}
+		semaphore <- struct{}{}
 		group.Go(func() {
-			defer func() { <-slots }()
+			defer func() { <-semaphore }()
 			j.row.Runs[j.index], failures[i] = Simulate(ctx, j.options)
 		})
 	}
@@ -111,8 +112,8 @@
 	return errors.Join(failures...)
 }
 
-// fields are the figures that a mean is made of.
-func (r *Result) fields() []*float64 {
+// averagedFields returns the fields of which Row.Mean holds the mean.
+func (r *Result) averagedFields() []*float64 {
 	return []*float64{&r.HitRate, &r.WastedRatio, &r.SurgeHitRate, &r.SteadyP50, &r.SteadyP95, &r.SteadyP99, &r.SurgeP50, &r.SurgeP95,
 		&r.SurgeP99, &r.Goodput, &r.TopClassInTime, &r.RecoverySeconds}
 }
@@ -120,8 +121,8 @@
 func (row *Row) summarize() {
 	n := len(row.Runs)
 	for _, run := range row.Runs {
-		for i, field := range run.fields() {
-			*row.Mean.fields()[i] += *field / float64(n)
+		for i, field := range run.averagedFields() {
+			*row.Mean.averagedFields()[i] += *field / float64(n)
 		}
 		row.Mean.Requests += run.Requests
 		row.Mean.Answered += run.Answered
@@ -133,7 +134,7 @@
 	row.Mean.Timeline = row.Runs[0].Timeline
 }
 
-// Runs counts the runs.
+// Runs returns the number of runs.
 func (f *StudyResult) Runs() int {
 	n := 0
 	for _, row := range f.Rows {
@@ -142,7 +143,7 @@
 	return n
 }
 
-// Table returns the figures as a Markdown table.
+// Table returns the results as a Markdown table.
 func (f *StudyResult) Table() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s: %d engines, %d routers, mean over %d seeds from %d. First-token times in seconds.\n\n", f.Deployment, f.Engines, f.Routers, f.Seeds, f.Seed)
