--- a/internal/experiment/study.go
+++ b/internal/experiment/study.go
@@ -14,10 +14,10 @@
 	"quinceridge.example/quinceridge/internal/scheduling"
 )
 
-// all stands for every scenario or every policy.
+// all selects every scenario or every policy.
 const all = "all"
 
-// Study says which runs to make.
+// Study selects and configures the runs of a study. Scenario and Policy may be "all".
 type Study struct {
 	Deployment deployment.Deployment
 	Scenario   string
@@ -28,23 +28,24 @@
 	Engine     enginemodel.Config
 	Affinity   scheduling.Config
 	Private    bool
-	// NoDirectory leaves out the directory of cache events.
+	// NoDirectory disables the directory of cache events.
 	NoDirectory bool
-	// Admission refuses early in every scenario, as the product does.
+	// Admission enables admission control in every scenario, as in production.
 	Admission bool
 }
 
-// Row is the figures of one policy in one scenario: the mean over the seeds.
+// Row holds the results of one policy in one scenario. Mean holds the mean over the seeds of rates and
+// times, the sum of counts of requests and blocks, and the timeline of the first seed.
 type Row struct {
-	Scenario string    `json:"scenario"`
-	Policy   string    `json:"policy"`
-	Mean     Result    `json:"mean"`
-	Worst    float64   `json:"worst_ttft_p99_surge"`
-	Runs     []*Result `json:"runs"`
+	Scenario      string    `json:"scenario"`
+	Policy        string    `json:"policy"`
+	Mean          Result    `json:"mean"`
+	WorstSurgeP99 float64   `json:"worst_ttft_p99_surge"`
+	Runs          []*Result `json:"runs"`
 }
 
-// Figures is the outcome of a study.
-type Figures struct {
+// StudyResult is the result of a study.
+type StudyResult struct {
 	Deployment string `json:"deployment"`
 	Engines    int    `json:"engines"`
 	Routers    int    `json:"routers"`
@@ -53,8 +54,8 @@
 	Rows       []*Row `json:"rows"`
 }
 
-// Run makes all runs of a study, several at once.
-func Run(ctx context.Context, study Study) (*Figures, error) {
+// Run runs a study, with GOMAXPROCS runs in parallel.
+func Run(ctx context.Context, study Study) (*StudyResult, error) {
 	names, policies := Scenarios(), Policies()
 	if study.Scenario != all {
 		names = []string{study.Scenario}
@@ -62,7 +63,7 @@
 	if study.Policy != all {
 		policies = []string{study.Policy}
 	}
-	figures := &Figures{Deployment: study.Deployment.Name, Engines: study.Deployment.Engines, Routers: study.Deployment.Routers,
+	figures := &StudyResult{Deployment: study.Deployment.Name, Engines: study.Deployment.Engines, Routers: study.Deployment.Routers,
 		Seed: study.Seed, Seeds: study.Seeds}
 	var jobs []job
 	for _, name := range names {
@@ -99,11 +100,11 @@
 func runAll(ctx context.Context, jobs []job) error {
 	var group sync.WaitGroup
 	failures := make([]error, len(jobs))
-	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	semaphore := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i, j := range jobs {
-		slots <- struct{}{}
+		semaphore <- struct{}{}
 		group.Go(func() {
-			defer func() { <-slots }()
+			defer func() { <-semaphore }()
 			j.row.Runs[j.index], failures[i] = Simulate(ctx, j.options)
 		})
 	}
@@ -111,30 +112,30 @@
 	return errors.Join(failures...)
 }
 
-// fields are the figures that a mean is made of.
-func (r *Result) fields() []*float64 {
-	return []*float64{&r.HitRate, &r.Wasted, &r.SurgeHitRate, &r.SteadyP50, &r.SteadyP95, &r.SteadyP99, &r.SurgeP50, &r.SurgeP95,
-		&r.SurgeP99, &r.Goodput, &r.TopInTime, &r.Recovery}
+// averagedFields returns the fields of which Row.Mean holds the mean.
+func (r *Result) averagedFields() []*float64 {
+	return []*float64{&r.HitRate, &r.WastedRatio, &r.SurgeHitRate, &r.SteadyP50, &r.SteadyP95, &r.SteadyP99, &r.SurgeP50, &r.SurgeP95,
+		&r.SurgeP99, &r.Goodput, &r.TopClassInTime, &r.RecoverySeconds}
 }
 
 func (row *Row) summarize() {
 	n := len(row.Runs)
 	for _, run := range row.Runs {
-		for i, field := range run.fields() {
-			*row.Mean.fields()[i] += *field / float64(n)
+		for i, field := range run.averagedFields() {
+			*row.Mean.averagedFields()[i] += *field / float64(n)
 		}
 		row.Mean.Requests += run.Requests
 		row.Mean.Answered += run.Answered
 		row.Mean.Refused += run.Refused
 		row.Mean.BlockChanges += run.BlockChanges
 		row.Mean.HeadChanges += run.HeadChanges
-		row.Worst = max(row.Worst, run.SurgeP99)
+		row.WorstSurgeP99 = max(row.WorstSurgeP99, run.SurgeP99)
 	}
 	row.Mean.Timeline = row.Runs[0].Timeline
 }
 
-// Runs counts the runs.
-func (f *Figures) Runs() int {
+// Runs returns the number of runs.
+func (f *StudyResult) Runs() int {
 	n := 0
 	for _, row := range f.Rows {
 		n += len(row.Runs)
@@ -142,8 +143,8 @@
 	return n
 }
 
-// Table returns the figures as a Markdown table.
-func (f *Figures) Table() string {
+// Table returns the results as a Markdown table.
+func (f *StudyResult) Table() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s: %d engines, %d routers, mean over %d seeds from %d. First-token times in seconds.\n\n", f.Deployment, f.Engines, f.Routers, f.Seeds, f.Seed)
 	out.WriteString("| scenario | policy | hit rate | surge hit rate | wasted | steady p99 | surge p50 | surge p95 | surge p99 | worst p99 | goodput/s | top class in time | recovery s | refused |\n")
@@ -151,7 +152,7 @@
 	for _, row := range f.Rows {
 		m := row.Mean
 		fmt.Fprintf(&out, "| %s | %s | %.3f | %.3f | %.4f | %.3f | %.3f | %.3f | %.3f | %.3f | %.1f | %.3f | %.1f | %.3f |\n", row.Scenario, row.Policy,
-			m.HitRate, m.SurgeHitRate, m.Wasted, m.SteadyP99, m.SurgeP50, m.SurgeP95, m.SurgeP99, row.Worst, m.Goodput, m.TopInTime, m.Recovery,
+			m.HitRate, m.SurgeHitRate, m.WastedRatio, m.SteadyP99, m.SurgeP50, m.SurgeP95, m.SurgeP99, row.WorstSurgeP99, m.Goodput, m.TopClassInTime, m.RecoverySeconds,
 			float64(m.Refused)/float64(max(m.Requests, 1)))
 	}
 	return out.String()
