--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	model          = "model"
-	heartbeatEvery = 300 * time.Millisecond
-	streamEvents   = 12
-	eventPause     = 15 * time.Millisecond
+	model             = "model"
+	heartbeatInterval = 300 * time.Millisecond
+	streamEvents      = 12
+	eventPause        = 15 * time.Millisecond
 )
 
 var names = vocabulary.Default()
 
-// run is one start of a request at a back end.
+// run is one execution of a request by a back end.
 type run struct {
 	id      string
 	backend string
@@ -37,20 +37,20 @@
 	at      time.Duration
 }
 
-// ledger is what all back ends ran.
-type ledger struct {
+// runLog records the executions of all back ends.
+type runLog struct {
 	mu   sync.Mutex
 	runs []run
 }
 
-func (l *ledger) add(r run) {
+func (l *runLog) add(r run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs = append(l.runs, r)
 }
 
-// backend is a stand-in for a model engine or an application worker: one start, which
-// may have the name of another before it.
+// backend simulates a model engine or an application worker. Each start is a new backend, even
+// under a name that was used before.
 type backend struct {
 	soak     *Soak
 	pool     string
@@ -60,33 +60,34 @@
 	server   *http.Server
 	sequence atomic.Uint64
 	draining atomic.Bool
-	// ended says that a poison request has ended it; the Soak's lock guards it.
-	ended bool
-	// drainedAt is when a drain was acknowledged, 0 for never.
-	drainedAt atomic.Int64
-	trouble   atomic.Int32
-	// wants is for how long it wants nothing from whom it turns away, as it does with all
-	// while that is not 0, in nanoseconds; announces says that it drains in answers.
-	wants     atomic.Int64
-	announces atomic.Bool
-	asked     *asked
-	limit     naming
-	mu        sync.Mutex
-	version   int
-	orders    int
-	fence     uint64
-	cancel    context.CancelFunc
+	// crashed is set once a poison request has crashed the back end. It is guarded by Soak.mu.
+	crashed bool
+	// drainedAt is the time at which a coordinator acknowledged the drain, or 0.
+	drainedAt   atomic.Int64
+	failureMode atomic.Int32
+	// pushback is the Retry-After delay in nanoseconds with which the back end rejects every
+	// request, or 0 if it accepts requests.
+	pushback atomic.Int64
+	// announcesDrain is set while responses carry the draining header.
+	announcesDrain atomic.Bool
+	notices        *notices
+	limit          announcedLimit
+	mu             sync.Mutex
+	version        int
+	orders         int
+	fence          uint64
+	cancel         context.CancelFunc
 }
 
-// troubles of a back end, as shares of its requests in percent.
-const troubleShare = 30
+// failurePercent is the percentage of requests that an active failure mode affects.
+const failurePercent = 30
 
 func (s *Soak) startBackend(pool, name string) (*backend, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &backend{soak: s, pool: pool, id: name, born: state.UnixMilli(time.Now().UnixMilli()), version: int(s.named.Load()), asked: newAsked()}
+	b := &backend{soak: s, pool: pool, id: name, born: state.UnixMilli(time.Now().UnixMilli()), version: int(s.weightsVersion.Load()), notices: newNotices()}
 	if b.proxy, err = newProxy(listener.Addr().String()); err != nil {
 		return nil, err
 	}
@@ -98,27 +99,27 @@
 	go func() { _ = b.server.Serve(listener) }()
 	ctx, cancel := context.WithCancel(s.ctx)
 	b.cancel = cancel
-	s.group.Go(func() { b.beat(ctx) })
+	s.group.Go(func() { b.heartbeatLoop(ctx) })
 	return b, nil
 }
 
-// crash ends the back end without a word.
+// crash stops the back end without a drain or a final heartbeat.
 func (b *backend) crash() {
 	b.cancel()
 	_ = b.server.Close()
 	b.proxy.close()
 }
 
-// beat sends heartbeats to any coordinator until one answers.
-func (b *backend) beat(ctx context.Context) {
+// heartbeatLoop sends heartbeats until the context ends.
+func (b *backend) heartbeatLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		b.tell(ctx)
-		wait(ctx, heartbeatEvery)
+		b.sendHeartbeat(ctx)
+		wait(ctx, heartbeatInterval)
 	}
 }
 
-// tell sends one heartbeat. An acknowledged drain binds from then on.
-func (b *backend) tell(ctx context.Context) {
+// sendHeartbeat sends one heartbeat and records when a drain was first acknowledged.
+func (b *backend) sendHeartbeat(ctx context.Context) {
 	draining := b.draining.Load()
 	row := state.Backend{Born: b.born, Pool: b.pool, Address: b.proxy.address(), Zone: "zone", Slots: 8, Draining: draining}
 	if b.pool == poolEngines {
@@ -138,8 +139,8 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	b.nameLimit(w, order.Holder)
-	if !b.arrives(w, order.Holder) {
+	b.announceLimit(w, order.Holder)
+	if !b.admit(w, order.Holder) {
 		return
 	}
 	b.mu.Lock()
@@ -152,20 +153,20 @@
 	case order.Version <= b.version:
 		w.WriteHeader(http.StatusOK)
 	default:
-		b.soak.note(order.Fence, order.Holder)
+		b.soak.recordFence(order.Fence, order.Holder)
 		b.fence, b.version, b.orders = order.Fence, order.Version, b.orders+1
 		w.WriteHeader(http.StatusAccepted)
 	}
 }
 
 func (b *backend) state(w http.ResponseWriter, _ *http.Request) {
-	b.nameLimit(w, reporters)
+	b.announceLimit(w, coordinatorSender)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(coordinator.EngineReport{Born: b.born, Orders: b.orders, Weights: map[string]int{model: b.version}})
 }
 
-// serve runs a request, with the trouble that the back end is in.
+// serve handles a request, subject to the back end's failure mode.
 func (b *backend) serve(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(names.RequestID)
 	w.Header().Set(names.RequestID, id)
@@ -178,53 +179,53 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if router, known := b.soak.asked.Load(id); known {
-		b.nameLimit(w, router.(string))
-		if !b.arrives(w, router.(string)) {
+	if router, known := b.soak.requestRouters.Load(id); known {
+		b.announceLimit(w, router.(string))
+		if !b.admit(w, router.(string)) {
 			return
 		}
 	}
-	trouble := b.trouble.Load()
-	troubled := rand.IntN(100) < troubleShare
-	if trouble == troubleFull && troubled {
+	failureMode := b.failureMode.Load()
+	affected := rand.IntN(100) < failurePercent
+	if failureMode == failureOverload && affected {
 		w.Header().Set(names.NotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	b.soak.ledger.add(run{id: id, backend: b.id, tenant: r.Header.Get(names.Tenant), at: b.soak.now()})
-	b.soak.arrived(b, id)
+	b.soak.runLog.add(run{id: id, backend: b.id, tenant: r.Header.Get(names.Tenant), at: b.soak.now()})
+	b.soak.checkDrained(b, id)
 	if strings.HasPrefix(string(body), poisonBody) {
-		b.soak.endUnder(b, string(body))
+		b.soak.crashUnderPoison(b, string(body))
 		return
 	}
-	if trouble == troubleHang && troubled {
+	if failureMode == failureHang && affected {
 		wait(r.Context(), time.Second)
 	}
-	if trouble == troubleFail && troubled {
+	if failureMode == failureStatus && affected {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set(names.Seal, sealOf(id))
 	if strings.HasPrefix(r.URL.Path, "/stream/") || strings.HasPrefix(r.URL.Path, "/chat/") {
-		b.stream(w, r, id, trouble == troubleBreak && troubled)
+		b.stream(w, r, id, failureMode == failureDisconnect && affected)
 		return
 	}
-	if trouble == troubleBreak && troubled {
-		breakOff(w, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nhalf")
+	if failureMode == failureDisconnect && affected {
+		disconnectAfter(w, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nhalf")
 		return
 	}
 	_, _ = w.Write(answerOf(id, body))
 }
 
-// stream writes the events behind the one that the caller has.
-func (b *backend) stream(w http.ResponseWriter, r *http.Request, id string, breaks bool) {
+// stream writes the events that follow the caller's last event.
+func (b *backend) stream(w http.ResponseWriter, r *http.Request, id string, disconnect bool) {
 	from, _ := strconv.Atoi(r.Header.Get(names.LastEvent))
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := from + 1; i <= streamEvents; i++ {
 		_, _ = io.WriteString(w, eventOf(id, i))
 		_ = http.NewResponseController(w).Flush()
-		if breaks && i == streamEvents/2 {
-			breakOff(w, "")
+		if disconnect && i == streamEvents/2 {
+			disconnectAfter(w, "")
 			return
 		}
 		if !wait(r.Context(), eventPause) {
@@ -233,7 +234,7 @@
 	}
 }
 
-func breakOff(w http.ResponseWriter, last string) {
+func disconnectAfter(w http.ResponseWriter, last string) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
@@ -242,7 +243,7 @@
 	_ = conn.Close()
 }
 
-// sealOf, answerOf and eventOf are what the right answer to a request is.
+// sealOf, answerOf and eventOf return parts of the expected response to a request.
 func sealOf(id string) string { return "seal-" + id }
 
 func answerOf(id string, body []byte) []byte { return append([]byte("answer to "+id+": "), body...) }
@@ -251,7 +252,7 @@
 	return fmt.Sprintf("id: %d\ndata: piece %d of %s\n\n", number, number, id)
 }
 
-// wait returns false when the context ended first.
+// wait sleeps for d and returns false if the context ended first.
 func wait(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -12,47 +12,47 @@
 )
 
 const (
-	callLimit = 3 * time.Second
-	callPause = 60 * time.Millisecond
+	callTimeout = 3 * time.Second
+	callPause   = 60 * time.Millisecond
 )
 
-// kinds of requests, by their path.
+// kinds lists the request kinds, which are also the first path segments.
 var kinds = []string{"safe", "unsafe", "stream", "chat"}
 
-// call is one attempt of a caller and what came of it.
+// call is one request of a caller and its result.
 type call struct {
-	id      string
-	kind    string
-	key     string
-	sent    time.Duration
-	status  int
-	body    string
-	seal    string
-	whole   bool
-	refused bool
-	// blocked says that the answer kept the request from back ends.
+	id       string
+	kind     string
+	key      string
+	sent     time.Duration
+	status   int
+	body     string
+	seal     string
+	complete bool
+	rejected bool
+	// blocked is set if a router rejected the request as a poison request.
 	blocked bool
-	// path and sends replace what the ID makes the path and the body.
-	path  string
-	sends string
-	// router is the one that was asked.
+	// path and requestBody override the path and the body that are derived from the ID.
+	path        string
+	requestBody string
+	// router is the name of the router that received the request.
 	router string
 }
 
-// caller asks routers in turn until the context ends.
+// caller sends requests to random routers until the context ends.
 func (s *Soak) caller(ctx context.Context, number int) {
-	client := &http.Client{Timeout: callLimit, Transport: &http.Transport{MaxIdleConnsPerHost: 2,
+	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 2,
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	defer client.CloseIdleConnections()
 	for count := 0; wait(ctx, callPause); count++ {
 		c := &call{id: fmt.Sprintf("c%d-%d", number, count), kind: kinds[rand.IntN(len(kinds))], key: s.key()}
-		s.ask(client, c)
+		s.send(client, c)
 		s.results.add(c)
 	}
 }
 
-// ask makes one call. Each has an ID of its own: nothing is repeated here.
-func (s *Soak) ask(client *http.Client, c *call) {
+// send makes one call to a random router, without retries.
+func (s *Soak) send(client *http.Client, c *call) {
 	request, err := s.request(c, s.routers[rand.IntN(len(s.routers))])
 	if err != nil {
 		return
@@ -62,17 +62,17 @@
 	if err != nil {
 		return
 	}
-	c.take(response)
+	c.readResponse(response)
 }
 
-// request is a call to a router.
+// request builds the HTTP request of a call and records its router.
 func (s *Soak) request(c *call, to *program) (*http.Request, error) {
 	path, body := "/"+c.kind+"/"+c.id, "body of "+c.id
 	if c.path != "" {
-		path, body = c.path, c.sends
+		path, body = c.path, c.requestBody
 	}
 	c.router = to.name
-	s.asked.Store(c.id, to.name)
+	s.requestRouters.Store(c.id, to.name)
 	request, err := http.NewRequest(http.MethodPost, "http://"+to.listen+path, strings.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -87,12 +87,12 @@
 	return request, nil
 }
 
-// take reads an answer.
-func (c *call) take(response *http.Response) {
+// readResponse reads the response and closes its body.
+func (c *call) readResponse(response *http.Response) {
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	c.status, c.body, c.whole = response.StatusCode, string(body), err == nil
+	c.status, c.body, c.complete = response.StatusCode, string(body), err == nil
 	c.seal = response.Header.Get(names.Seal)
 	c.blocked = c.status == http.StatusBadGateway && response.Header.Get("Retry-After") != ""
-	c.refused = c.status == http.StatusServiceUnavailable || c.status == http.StatusTooManyRequests
+	c.rejected = c.status == http.StatusServiceUnavailable || c.status == http.StatusTooManyRequests
 }
--- a/internal/soak/clinging.go
+++ b/internal/soak/clinging.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// clingingCaller asks one router over one connection, whatever its answers say of
-// closing it, until the connection ends; then it takes another router. So connections
-// stay open until a process that stops is gone.
-func (s *Soak) clingingCaller(ctx context.Context, number int) {
+// persistentCaller sends requests to one router over a single connection and ignores
+// "Connection: close". When the connection ends it picks another router. This keeps connections
+// open until a stopping router has exited.
+func (s *Soak) persistentCaller(ctx context.Context, number int) {
 	for count := 0; wait(ctx, callPause); {
 		to := s.routers[rand.IntN(len(s.routers))]
 		connection, err := net.DialTimeout("tcp", to.listen, time.Second)
@@ -23,21 +23,22 @@
 		reader := bufio.NewReader(connection)
 		for open := true; open && wait(ctx, callPause); count++ {
 			c := &call{id: fmt.Sprintf("k%d-%d", number, count), kind: kinds[rand.IntN(len(kinds))], key: s.key()}
-			open = s.askOver(connection, reader, c, to)
+			open = s.sendOver(connection, reader, c, to)
 			s.results.add(c)
 		}
 		_ = connection.Close()
 	}
 }
 
-// askOver makes one call over a connection. False says that the connection is over.
-func (s *Soak) askOver(connection net.Conn, reader *bufio.Reader, c *call, to *program) bool {
+// sendOver makes one call over a connection and returns false if the connection can't be used
+// again.
+func (s *Soak) sendOver(connection net.Conn, reader *bufio.Reader, c *call, to *program) bool {
 	request, err := s.request(c, to)
 	if err != nil {
 		return false
 	}
 	c.sent = s.now()
-	_ = connection.SetDeadline(time.Now().Add(callLimit))
+	_ = connection.SetDeadline(time.Now().Add(callTimeout))
 	if err := request.Write(connection); err != nil {
 		return false
 	}
@@ -45,6 +46,6 @@
 	if err != nil {
 		return false
 	}
-	c.take(response)
-	return c.whole
+	c.readResponse(response)
+	return c.complete
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -12,57 +12,58 @@
 	"time"
 )
 
-// troubles of back ends.
+// Failure modes of back ends.
 const (
-	troubleNone int32 = iota
-	troubleFail
-	troubleHang
-	troubleBreak
-	troubleFull
-	troubleKinds
+	failureNone int32 = iota
+	failureStatus
+	failureHang
+	failureDisconnect
+	failureOverload
+	failureKinds
 )
 
 const (
-	faultPause = 900 * time.Millisecond
-	shortest   = 200 * time.Millisecond
-	longest    = 3 * time.Second
-	stopLimit  = 15 * time.Second
-	// voterPause is the time between two questions to one that lost its disk.
-	voterPause = 100 * time.Millisecond
-	// burst is how many faults come at once, or one after the other.
-	burst = 3
+	faultPause       = 900 * time.Millisecond
+	minFaultDuration = 200 * time.Millisecond
+	maxFaultDuration = 3 * time.Second
+	stopTimeout      = 15 * time.Second
+	// voterPollInterval is the time between two checks whether a wiped coordinator is a voter
+	// again.
+	voterPollInterval = 100 * time.Millisecond
+	// burstSize is the number of faults in a burst.
+	burstSize = 3
 )
 
-// fault is one kind of trouble.
+// fault is one kind of injected fault.
 type fault struct {
 	name string
 	run  func(s *Soak, ctx context.Context, r *rand.Rand)
 }
 
 var faults = []fault{
-	{"kill a router", func(s *Soak, ctx context.Context, r *rand.Rand) { s.bounce(ctx, r, pick(r, s.routers)) }},
-	{"kill a coordinator", func(s *Soak, ctx context.Context, r *rand.Rand) { s.bounce(ctx, r, pick(r, s.coordinators)) }},
+	{"kill a router", func(s *Soak, ctx context.Context, r *rand.Rand) { s.killAndRestart(ctx, r, pick(r, s.routers)) }},
+	{"kill a coordinator", func(s *Soak, ctx context.Context, r *rand.Rand) { s.killAndRestart(ctx, r, pick(r, s.coordinators)) }},
 	{"freeze a router", func(s *Soak, ctx context.Context, r *rand.Rand) { s.freeze(ctx, r, pick(r, s.routers)) }},
 	{"freeze a coordinator", func(s *Soak, ctx context.Context, r *rand.Rand) { s.freeze(ctx, r, pick(r, s.coordinators)) }},
-	{"stop a router as planned", func(s *Soak, _ context.Context, r *rand.Rand) { s.restart(pick(r, s.routers)) }},
-	{"stop a coordinator as planned", func(s *Soak, _ context.Context, r *rand.Rand) { s.restart(pick(r, s.coordinators)) }},
+	{"stop a router as planned", func(s *Soak, _ context.Context, r *rand.Rand) { s.restartGracefully(pick(r, s.routers)) }},
+	{"stop a coordinator as planned", func(s *Soak, _ context.Context, r *rand.Rand) { s.restartGracefully(pick(r, s.coordinators)) }},
 	{"cut a coordinator off", func(s *Soak, ctx context.Context, r *rand.Rand) {
 		p := pick(r, s.coordinators)
-		defer s.disturb(p)()
-		p.proxy.cut(func() { wait(ctx, between(r)) })
+		defer s.recordDisturbance(p)()
+		p.proxy.cut(func() { wait(ctx, faultDuration(r)) })
 	}},
 	{"reset a coordinator's connections", func(s *Soak, ctx context.Context, r *rand.Rand) {
 		p := pick(r, s.coordinators)
-		defer s.disturb(p)()
-		p.proxy.reset(func() { wait(ctx, between(r)) })
+		defer s.recordDisturbance(p)()
+		p.proxy.reset(func() { wait(ctx, faultDuration(r)) })
 	}},
 	{"cut a back end off", func(s *Soak, ctx context.Context, r *rand.Rand) {
 		b := pick(r, s.listBackends())
-		s.cutOff(b, func() { b.proxy.cut(func() { wait(ctx, between(r)) }) })
+		s.disturbLink(b, func() { b.proxy.cut(func() { wait(ctx, faultDuration(r)) }) })
 	}},
 	{"reset a back end's connections", func(s *Soak, ctx context.Context, r *rand.Rand) {
 		b := pick(r, s.listBackends())
-		s.cutOff(b, func() { b.proxy.reset(func() { wait(ctx, between(r)) }) })
+		s.disturbLink(b, func() { b.proxy.reset(func() { wait(ctx, faultDuration(r)) }) })
 	}},
 	{"lose a coordinator's disk", (*Soak).loseDisk},
 	{"kill all coordinators", (*Soak).killCoordinators},
@@ -71,38 +72,38 @@
 	{"a request that ends back ends", (*Soak).sendPoison},
 	{"trouble at a back end", func(s *Soak, ctx context.Context, r *rand.Rand) {
 		b := pick(r, s.listBackends())
-		b.trouble.Store(1 + r.Int32N(troubleKinds-1))
-		wait(ctx, between(r))
-		b.trouble.Store(troubleNone)
+		b.failureMode.Store(1 + r.Int32N(failureKinds-1))
+		wait(ctx, faultDuration(r))
+		b.failureMode.Store(failureNone)
 	}},
 }
 
 func pick[T any](r *rand.Rand, from []T) T { return from[r.IntN(len(from))] }
 
-func between(r *rand.Rand) time.Duration {
-	return shortest + time.Duration(r.Int64N(int64(longest-shortest)))
+func faultDuration(r *rand.Rand) time.Duration {
+	return minFaultDuration + time.Duration(r.Int64N(int64(maxFaultDuration-minFaultDuration)))
 }
 
-// inject brings faults about until the context ends. The seed fixes their order. Two or
-// three overlap; some come in bursts, some one after the other.
+// inject starts random faults until the context ends. The seed determines their order. Faults
+// may overlap or come in bursts.
 func (s *Soak) inject(ctx context.Context) {
 	r := rand.New(rand.NewPCG(s.config.Seed, 1))
 	for wait(ctx, time.Duration(r.Int64N(int64(2*faultPause)))) {
 		switch f := faults[r.IntN(len(faults))]; r.IntN(6) {
 		case 0:
-			s.begin(ctx, r, f, burst)
+			s.startFault(ctx, r, f, burstSize)
 		case 1:
-			for range burst {
-				s.begin(ctx, r, faults[r.IntN(len(faults))], 1)
+			for range burstSize {
+				s.startFault(ctx, r, faults[r.IntN(len(faults))], 1)
 			}
 		default:
-			s.begin(ctx, r, f, 1)
+			s.startFault(ctx, r, f, 1)
 		}
 	}
 }
 
-// begin brings a fault about a number of times in a row, beside all else.
-func (s *Soak) begin(ctx context.Context, r *rand.Rand, f fault, times int) {
+// startFault runs a fault the given number of times in a row, in its own goroutine.
+func (s *Soak) startFault(ctx context.Context, r *rand.Rand, f fault, times int) {
 	s.mu.Lock()
 	s.report.Faults[f.name] += times
 	s.mu.Unlock()
@@ -114,75 +115,75 @@
 	})
 }
 
-// claim gives a fault a program for itself, until the returned function is called.
-func (s *Soak) claim(p *program) (release func(), free bool) {
+// acquire reserves a process for one fault. The returned function releases it; ok is false if
+// another fault holds the process.
+func (s *Soak) acquire(p *program) (release func(), ok bool) {
 	if !p.busy.CompareAndSwap(false, true) {
 		return nil, false
 	}
-	over := s.disturb(p)
+	endDisturbance := s.recordDisturbance(p)
 	return func() {
-		over()
+		endDisturbance()
 		p.busy.Store(false)
 	}, true
 }
 
-func (s *Soak) bounce(ctx context.Context, r *rand.Rand, p *program) {
-	release, free := s.claim(p)
-	if !free {
+func (s *Soak) killAndRestart(ctx context.Context, r *rand.Rand, p *program) {
+	release, ok := s.acquire(p)
+	if !ok {
 		return
 	}
 	defer release()
 	p.process.Kill()
-	wait(ctx, between(r))
+	wait(ctx, faultDuration(r))
 	_ = p.process.Start()
 }
 
 func (s *Soak) freeze(ctx context.Context, r *rand.Rand, p *program) {
-	release, free := s.claim(p)
-	if !free {
+	release, ok := s.acquire(p)
+	if !ok {
 		return
 	}
 	defer release()
 	p.process.Signal(syscall.SIGSTOP)
-	wait(ctx, between(r))
+	wait(ctx, faultDuration(r))
 	p.process.Signal(syscall.SIGCONT)
 }
 
-func (s *Soak) restart(p *program) {
-	release, free := s.claim(p)
-	if !free {
+func (s *Soak) restartGracefully(p *program) {
+	release, ok := s.acquire(p)
+	if !ok {
 		return
 	}
 	defer release()
-	_ = p.startAgain(p.process.Binary)
+	_ = p.restartWith(p.process.Binary)
 }
 
-// startAgain stops a program as planned and starts a build of it.
-func (p *program) startAgain(binary string) error {
-	p.process.Terminate(stopLimit)
+// restartWith stops the process gracefully and starts the given build.
+func (p *program) restartWith(binary string) error {
+	p.process.Terminate(stopTimeout)
 	p.process.Binary = binary
 	return p.process.Start()
 }
 
-// loseDisk takes one coordinator's disk, and no second one until the first is a voter
-// again: a group of five bears the loss of two, and other faults may hold the first up
-// for any time.
+// loseDisk wipes the disk of one coordinator and waits until it is a voter again, since a group
+// of five tolerates only two missing members.
 func (s *Soak) loseDisk(ctx context.Context, r *rand.Rand) {
-	if !s.disk.TryLock() {
+	if !s.quorumMu.TryLock() {
 		return
 	}
-	defer s.disk.Unlock()
+	defer s.quorumMu.Unlock()
 	p := pick(r, s.coordinators)
 	if s.wipe(p) {
-		for wait(ctx, voterPause) && !s.isVoter(ctx, p) {
+		for wait(ctx, voterPollInterval) && !s.isVoter(ctx, p) {
 		}
 	}
 }
 
-// wipe starts a coordinator anew without its disk.
+// wipe restarts a coordinator with an empty disk.
 func (s *Soak) wipe(p *program) bool {
-	release, free := s.claim(p)
-	if !free {
+	release, ok := s.acquire(p)
+	if !ok {
 		return false
 	}
 	defer release()
@@ -193,8 +194,7 @@
 	return true
 }
 
-// isVoter tells whether a coordinator that lost its disk has heard that it is a voter
-// again: the group is whole then.
+// isVoter reports whether a wiped coordinator observes the full number of voters again.
 func (s *Soak) isVoter(ctx context.Context, p *program) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.ready+"/metrics", nil)
 	if err != nil {
@@ -205,23 +205,23 @@
 		return false
 	}
 	defer response.Body.Close()
-	figures, err := io.ReadAll(response.Body)
-	return err == nil && strings.Contains(string(figures), fmt.Sprintf("quinceridge_voters %d\n", coordinators))
+	metrics, err := io.ReadAll(response.Body)
+	return err == nil && strings.Contains(string(metrics), fmt.Sprintf("quinceridge_voters %d\n", coordinators))
 }
 
 func (s *Soak) killCoordinators(ctx context.Context, r *rand.Rand) {
-	if !s.disk.TryLock() {
+	if !s.quorumMu.TryLock() {
 		return
 	}
-	defer s.disk.Unlock()
+	defer s.quorumMu.Unlock()
 	for _, p := range s.coordinators {
-		if release, free := s.claim(p); free {
+		if release, ok := s.acquire(p); ok {
 			defer release()
 			p.process.Kill()
 			defer func() { _ = p.process.Start() }()
 		}
 	}
-	wait(ctx, between(r)/2)
+	wait(ctx, faultDuration(r)/2)
 }
 
 func (s *Soak) crashBackend(ctx context.Context, r *rand.Rand) {
@@ -230,23 +230,23 @@
 		return
 	}
 	b.crash()
-	wait(ctx, between(r))
+	wait(ctx, faultDuration(r))
 	s.addBackend(b.pool)
 }
 
-// drainBackend lets a back end leave as planned.
+// drainBackend removes a back end with a drain.
 func (s *Soak) drainBackend(ctx context.Context, r *rand.Rand) {
-	s.leave(ctx, pick(r, s.listBackends()), func(*backend) {})
+	s.drainAndStop(ctx, pick(r, s.listBackends()), func(*backend) {})
 }
 
-// leave lets a back end drain and end, after something that it does first.
-func (s *Soak) leave(ctx context.Context, b *backend, first func(*backend)) {
+// drainAndStop replaces a back end, calls first, drains the back end and stops it.
+func (s *Soak) drainAndStop(ctx context.Context, b *backend, first func(*backend)) {
 	if !s.remove(b) {
 		return
 	}
 	s.addBackend(b.pool)
 	first(b)
 	b.draining.Store(true)
-	wait(ctx, 2*drainBinds)
+	wait(ctx, 2*drainDeadline)
 	b.crash()
 }
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -10,125 +10,128 @@
 )
 
 const (
-	// limitPause is the longest time between two faults of limits.
+	// limitPause is the maximum time between two limit faults.
 	limitPause = 4 * time.Second
-	// limitWindow, limitOvershoot and limitSlack say what a back end that names a limit bears:
-	// within the window so much more than it allows, from senders that have had its word for
-	// underWay, all from limitBinds after it named it first.
+	// limitWindow, limitOvershoot and limitSlack define the accepted load of a limited back
+	// end: within the window, at most the limit times limitOvershoot plus limitSlack requests,
+	// counted from senders that received the limit more than inFlightGrace ago. The check
+	// starts limitDeadline after the limit was first announced.
 	limitWindow    = 4 * time.Second
 	limitOvershoot = 1.5
 	limitSlack     = 5
-	limitBinds     = 3 * time.Second
-	// reporters is who asks for reports: they name nobody.
-	reporters = "coordinators"
+	limitDeadline  = 3 * time.Second
+	// coordinatorSender stands for all coordinators, since state requests carry no sender name.
+	coordinatorSender = "coordinators"
 )
 
-// limitRates are what some back ends of a pool take in a second, and poolRates what each
-// does when all of a pool take only so much: enough for half of the callers.
 var (
+	// limitRates are the limits, in requests per second, used when only part of a pool is
+	// limited.
 	limitRates = []string{"0", "0.2", "0.4", "1", "1.3", "5"}
-	poolRates  = []string{"10", "20"}
+	// poolRates are the limits for each back end when the whole pool is limited. They are
+	// enough for about half of the callers.
+	poolRates = []string{"10", "20"}
 )
 
-// naming is the limit that a back end names, and what it was sent meanwhile. It is safe for
-// concurrent use.
-type naming struct {
-	mu   sync.Mutex
-	text string
-	rate float64
-	// from is when it was first named.
-	from time.Duration
-	// told is when each sender first had an answer that named it.
-	told map[string]time.Duration
-	// sent is what came from each sender within the last window.
-	sent []sending
+// announcedLimit is the rate limit that a back end announces, with the requests that arrived
+// under it. It is safe for concurrent use.
+type announcedLimit struct {
+	mu     sync.Mutex
+	header string
+	rate   float64
+	// since is the time at which the limit was first announced.
+	since time.Duration
+	// notified maps each sender to the time of its first response with the limit.
+	notified map[string]time.Duration
+	// arrivals are the requests within the last limitWindow, oldest first.
+	arrivals []arrival
 }
 
-type sending struct {
+type arrival struct {
 	at     time.Duration
 	sender string
 }
 
-// begin names a limit from the next answer on; an empty one ends it.
-func (n *naming) begin(text string) {
+// set announces a limit in all further responses. An empty header removes the limit.
+func (n *announcedLimit) set(header string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.text, n.from, n.told, n.sent = text, 0, map[string]time.Duration{}, nil
-	n.rate, _ = strconv.ParseFloat(text, 64)
+	n.header, n.since, n.notified, n.arrivals = header, 0, map[string]time.Duration{}, nil
+	n.rate, _ = strconv.ParseFloat(header, 64)
 }
 
-// nameLimit notes what arrives, and names the limit in the answer.
-func (b *backend) nameLimit(w http.ResponseWriter, sender string) {
+// announceLimit records a request, checks the limit and adds the limit header to the response.
+func (b *backend) announceLimit(w http.ResponseWriter, sender string) {
 	n := &b.limit
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.text == "" {
+	if n.header == "" {
 		return
 	}
 	now := b.soak.now()
-	if n.from == 0 {
-		n.from = now
+	if n.since == 0 {
+		n.since = now
 	}
-	n.sent = append(n.sent, sending{now, sender})
-	for n.sent[0].at <= now-limitWindow {
-		n.sent = n.sent[1:]
+	n.arrivals = append(n.arrivals, arrival{now, sender})
+	for n.arrivals[0].at <= now-limitWindow {
+		n.arrivals = n.arrivals[1:]
 	}
-	if now >= n.from+limitBinds {
+	if now >= n.since+limitDeadline {
 		b.checkLimit(now, n)
 	}
-	if _, told := n.told[sender]; !told {
-		n.told[sender] = now
+	if _, notified := n.notified[sender]; !notified {
+		n.notified[sender] = now
 	}
-	w.Header().Set(names.Limit, n.text)
+	w.Header().Set(names.Limit, n.header)
 }
 
-// checkLimit notes a breach if more has come than the back end bears, but for what came from
-// senders that were at fault.
-func (b *backend) checkLimit(now time.Duration, n *naming) {
+// checkLimit records a breach if too many requests arrived within the window. Requests of
+// senders that were disturbed don't count.
+func (b *backend) checkLimit(now time.Duration, n *announcedLimit) {
 	count := 0
-	for _, s := range n.sent {
-		told, is := n.told[s.sender]
-		if is && s.at >= told+underWay && !b.soak.atFault(b, s.sender, now-limitWindow) {
+	for _, s := range n.arrivals {
+		notified, ok := n.notified[s.sender]
+		if ok && s.at >= notified+inFlightGrace && !b.soak.excused(b, s.sender, now-limitWindow) {
 			count++
 		}
 	}
 	allowed := int(limitOvershoot*n.rate*limitWindow.Seconds()) + limitSlack
 	if count > allowed {
-		b.soak.breach("%v: %s takes %s a second and got %d in %v, allowed %d", now, b.id, n.text, count, limitWindow, allowed)
+		b.soak.recordBreach("%v: %s takes %s a second and got %d in %v, allowed %d", now, b.id, n.header, count, limitWindow, allowed)
 	}
 }
 
-// atFault tells whether a sender or a back end's link was at fault at some time since a
-// moment, contact before it included.
-func (s *Soak) atFault(b *backend, sender string, since time.Duration) bool {
-	if sender != reporters {
-		return s.faulty(b, sender, since)
+// excused reports whether the sender or the back end's link was disturbed after since, or
+// within recoveryTime before it.
+func (s *Soak) excused(b *backend, sender string, since time.Duration) bool {
+	if sender != coordinatorSender {
+		return s.disturbedSince(b, sender, since)
 	}
 	for _, c := range s.coordinators {
-		if s.faulty(b, c.name, since) {
+		if s.disturbedSince(b, c.name, since) {
 			return true
 		}
 	}
 	return false
 }
 
-// injectLimits lets back ends take only so much from all until the context ends. It has a
-// random source of its own, so that a seed's other faults are the ones that it always had.
+// injectLimits limits random back ends until the context ends. It has its own random source, so
+// that it doesn't change the other faults of a seed.
 func (s *Soak) injectLimits(ctx context.Context) {
 	if s.config.Older != "" {
-		// Builds before this one read nothing of it.
+		// Older builds ignore the limit header.
 		return
 	}
 	r := rand.New(rand.NewPCG(s.config.Seed, 8))
 	for wait(ctx, time.Duration(r.Int64N(int64(limitPause)))) {
-		s.begin(ctx, r, fault{"back ends take only so much", (*Soak).nameLimits}, 1)
-		wait(ctx, limitBinds)
+		s.startFault(ctx, r, fault{"back ends take only so much", (*Soak).limitBackends}, 1)
+		wait(ctx, limitDeadline)
 	}
 }
 
-// nameLimits makes one back end, some of a pool or all of it name a limit for a while, and in
-// one of two runs another one after it.
-func (s *Soak) nameLimits(ctx context.Context, r *rand.Rand) {
+// limitBackends makes one back end, some of a pool or a whole pool announce a limit, and
+// sometimes a second one after it.
+func (s *Soak) limitBackends(ctx context.Context, r *rand.Rand) {
 	pool := poolEngines
 	if r.IntN(2) == 0 {
 		pool = poolWorkers
@@ -146,11 +149,11 @@
 	for range 1 + r.IntN(2) {
 		rate := rates[r.IntN(len(rates))]
 		for _, b := range chosen {
-			b.limit.begin(rate)
+			b.limit.set(rate)
 		}
-		wait(ctx, limitBinds+2*between(r))
+		wait(ctx, limitDeadline+2*faultDuration(r))
 	}
 	for _, b := range chosen {
-		b.limit.begin("")
+		b.limit.set("")
 	}
 }
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	poolEngines  = "engines"
-	poolWorkers  = "workers"
-	controlLimit = time.Second
-	changeEvery  = 700 * time.Millisecond
-	// keyVersions is how many configurations a tenant's key lives.
-	keyVersions = 4
+	poolEngines    = "engines"
+	poolWorkers    = "workers"
+	controlTimeout = time.Second
+	changeInterval = 700 * time.Millisecond
+	// keyLifetime is the number of consecutive configurations that contain a tenant's key.
+	keyLifetime = 4
 )
 
-// acknowledged is a configuration that was acknowledged.
+// acknowledged is a configuration that a coordinator acknowledged.
 type acknowledged struct {
 	version uint64
 	at      time.Duration
 	keys    []string
 }
 
-// keysOf returns the keys that a version allows. Each version takes the oldest
-// away and adds a new one.
+// keysOf returns the keys that a version accepts. Each version drops the oldest key and adds a
+// new one.
 func keysOf(version uint64) []string {
 	var keys []string
-	for i := range uint64(keyVersions) {
+	for i := range uint64(keyLifetime) {
 		keys = append(keys, fmt.Sprintf("key-%d", version+i))
 	}
 	return keys
@@ -58,8 +58,8 @@
 	return text
 }
 
-// key returns a key that the newest acknowledged configuration allows, or at
-// times one that was taken away.
+// key returns the newest key of the last acknowledged configuration or, sometimes, a revoked
+// one.
 func (s *Soak) key() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,14 +67,14 @@
 		return "none"
 	}
 	newest := s.acked[len(s.acked)-1].version
-	if rand.IntN(10) == 0 && newest > keyVersions {
+	if rand.IntN(10) == 0 && newest > keyLifetime {
 		return fmt.Sprintf("key-%d", newest-1)
 	}
-	return fmt.Sprintf("key-%d", newest+keyVersions-1)
+	return fmt.Sprintf("key-%d", newest+keyLifetime-1)
 }
 
-// operate changes the configuration and names weights until the context ends.
-func (s *Soak) operate(ctx context.Context) {
+// runOperator changes the configuration and the weights until the context ends.
+func (s *Soak) runOperator(ctx context.Context) {
 	for version := uint64(1); ctx.Err() == nil; version++ {
 		for ctx.Err() == nil {
 			if s.control(ctx, http.MethodPut, "/v1/configuration", documentOf(version)) == http.StatusOK {
@@ -88,19 +88,19 @@
 		if version%5 == 0 {
 			s.nameWeights(ctx)
 		}
-		wait(ctx, changeEvery)
+		wait(ctx, changeInterval)
 	}
 }
 
 func (s *Soak) nameWeights(ctx context.Context) {
-	body, _ := json.Marshal(state.NameWeights{Model: model, Version: int(s.named.Load()) + 1})
+	body, _ := json.Marshal(state.NameWeights{Model: model, Version: int(s.weightsVersion.Load()) + 1})
 	if s.control(ctx, http.MethodPost, "/v1/weights", body) == http.StatusOK {
-		s.named.Add(1)
+		s.weightsVersion.Add(1)
 	}
 }
 
-// control sends a call to one coordinator after the other and returns the
-// status of the first clear answer, 0 for none.
+// control sends a request to the coordinators in turn, from a random one on. It returns the
+// first status below 500, or 0 if there was none.
 func (s *Soak) control(ctx context.Context, method, path string, body []byte) int {
 	first := rand.IntN(len(s.coordinators))
 	for i := range s.coordinators {
@@ -113,7 +113,7 @@
 }
 
 func (s *Soak) controlAt(ctx context.Context, address, method, path string, body []byte) (int, []byte) {
-	ctx, cancel := context.WithTimeout(ctx, controlLimit)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
--- a/internal/soak/poison.go
+++ b/internal/soak/poison.go
@@ -10,36 +10,40 @@
 )
 
 const (
-	// poisonBody begins the body of a request that ends each back end that runs it.
+	// poisonBody is the prefix of the body of requests that crash each back end that runs them.
 	poisonBody = "poison"
-	// poisonTries is how often such a request comes, each poisonPause, and poisonCrash the
-	// longest time for which a back end runs it.
-	poisonTries = 16
-	poisonPause = 400 * time.Millisecond
-	poisonCrash = 120 * time.Millisecond
-	// poisonReturn is when another back end takes the place of one that ended.
-	poisonReturn = 700 * time.Millisecond
-	// enoughEnds is under how many ended back ends a request is to be kept from others, and
-	// furtherRuns how many may still follow once all know: contact after the last of those.
-	enoughEnds  = 3
-	furtherRuns = 3
-	contact     = 3 * time.Second
+	// poisonAttempts is the number of times that a poison request is sent, at intervals of
+	// poisonPause. maxPoisonRun is the longest time for which a back end runs it before it
+	// crashes.
+	poisonAttempts = 16
+	poisonPause    = 400 * time.Millisecond
+	maxPoisonRun   = 120 * time.Millisecond
+	// replacementDelay is the time after which a crashed back end is replaced.
+	replacementDelay = 700 * time.Millisecond
+	// blockThreshold is the number of crashes after which routers must block a request, and
+	// maxFurtherRuns the number of runs tolerated later than recoveryTime after the last of
+	// these crashes.
+	// recoveryTime is the time for which a disturbance still excuses a breach after it has
+	// ended.
+	blockThreshold = 3
+	maxFurtherRuns = 3
+	recoveryTime   = 3 * time.Second
 )
 
-// disturbance is a time in which a coordinator, a router or a back end's link was at
-// fault.
+// disturbance is a period in which a process or the link of a back end was affected by a fault.
 type disturbance struct {
-	// program is the name of a coordinator or a router, empty for a link.
+	// program is the name of the coordinator or router, or empty for a link.
 	program string
-	// router is empty for a coordinator.
+	// router is the name of the router, or empty for a coordinator or a link.
 	router string
-	// backend is nil for a program.
+	// backend is the back end whose link is affected, or nil for a process.
 	backend  *backend
 	from, to time.Duration
 }
 
-// disturb notes that a program is at fault until the returned function is called.
-func (s *Soak) disturb(p *program) (over func()) {
+// recordDisturbance records that a process is affected by a fault until the returned function
+// is called.
+func (s *Soak) recordDisturbance(p *program) (end func()) {
 	d := &disturbance{program: p.name, from: s.now(), to: -1}
 	if p.proxy == nil {
 		d.router = p.name
@@ -54,87 +58,87 @@
 	}
 }
 
-// inTouch tells whether a router and all coordinators had been undisturbed through the
-// whole contact before a moment.
-func (s *Soak) inTouch(router string, at time.Duration) bool {
+// undisturbed reports whether the router and all coordinators were free of disturbances at the
+// given time and for recoveryTime before it.
+func (s *Soak) undisturbed(router string, at time.Duration) bool {
 	return !s.disturbed(at, func(d *disturbance) bool { return d.backend == nil && (d.router == "" || d.router == router) })
 }
 
-// disturbed tells whether a disturbance of some kind went on within contact before a
-// moment.
-func (s *Soak) disturbed(at time.Duration, counts func(*disturbance) bool) bool {
+// disturbed reports whether a matching disturbance was active at the given time or within
+// recoveryTime before it.
+func (s *Soak) disturbed(at time.Duration, matches func(*disturbance) bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, d := range s.disturbances {
-		if counts(d) && d.from <= at && (d.to < 0 || d.to+contact >= at) {
+		if matches(d) && d.from <= at && (d.to < 0 || d.to+recoveryTime >= at) {
 			return true
 		}
 	}
 	return false
 }
 
-// sendPoison lets a request that ends back ends come again and again, under other IDs
-// and at any router.
+// sendPoison sends the same poison request repeatedly, each time with a new ID and to a random
+// router.
 func (s *Soak) sendPoison(ctx context.Context, r *rand.Rand) {
 	kind := kinds[r.IntN(len(kinds))]
 	body := fmt.Sprintf("%s %d", poisonBody, r.Uint64())
-	client := &http.Client{Timeout: callLimit, Transport: &http.Transport{DisableKeepAlives: true}}
-	for n := 0; n < poisonTries && wait(ctx, poisonPause); n++ {
-		c := &call{id: fmt.Sprintf("p%d-%d", r.Uint64(), n), kind: kind, key: s.key(), path: "/" + kind + "/poison", sends: body}
-		s.ask(client, c)
+	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	for n := 0; n < poisonAttempts && wait(ctx, poisonPause); n++ {
+		c := &call{id: fmt.Sprintf("p%d-%d", r.Uint64(), n), kind: kind, key: s.key(), path: "/" + kind + "/poison", requestBody: body}
+		s.send(client, c)
 		s.results.add(c)
 	}
 }
 
-// endUnder ends a back end that runs a poison request. Another comes in its place.
-func (s *Soak) endUnder(b *backend, body string) {
-	wait(s.ctx, time.Duration(rand.Int64N(int64(poisonCrash))))
+// crashUnderPoison crashes a back end that runs a poison request and schedules its replacement.
+func (s *Soak) crashUnderPoison(b *backend, body string) {
+	wait(s.ctx, time.Duration(rand.Int64N(int64(maxPoisonRun))))
 	s.mu.Lock()
-	if b.ended {
+	if b.crashed {
 		s.mu.Unlock()
 		return
 	}
-	b.ended = true
-	s.ends[body] = append(s.ends[body], s.now())
+	b.crashed = true
+	s.crashes[body] = append(s.crashes[body], s.now())
 	s.backends = s.without(b)
 	s.mu.Unlock()
 	b.crash()
 	s.group.Go(func() {
-		if wait(s.ctx, poisonReturn) {
+		if wait(s.ctx, replacementDelay) {
 			s.addBackend(b.pool)
 		}
 	})
 }
 
-// checkPoison checks that requests that end back ends are kept from them, and that no
-// other request was.
+// checkPoison verifies that poison requests were blocked after enough crashes, and that no
+// other request was blocked.
 func (s *Soak) checkPoison(calls []*call, runs map[string][]run) {
 	further := map[string]int{}
 	for _, c := range calls {
-		if !strings.HasPrefix(c.sends, poisonBody) {
+		if !strings.HasPrefix(c.requestBody, poisonBody) {
 			if c.blocked {
-				s.breach("%s %s was taken for one that ends back ends", c.kind, c.id)
+				s.recordBreach("%s %s was taken for one that ends back ends", c.kind, c.id)
 			}
 			continue
 		}
 		if c.blocked {
 			s.report.Blocked++
 		}
-		ends := s.ends[c.sends]
-		if len(ends) < enoughEnds || len(runs[c.id]) == 0 {
+		crashes := s.crashes[c.requestBody]
+		if len(crashes) < blockThreshold || len(runs[c.id]) == 0 {
 			continue
 		}
-		if late := ends[enoughEnds-1] + contact + slack; c.sent > late && s.inTouch(c.router, c.sent) {
-			further[c.sends]++
+		if late := crashes[blockThreshold-1] + recoveryTime + slack; c.sent > late && s.undisturbed(c.router, c.sent) {
+			further[c.requestBody]++
 		}
 	}
 	for body, n := range further {
-		if n > furtherRuns {
-			s.breach("%q was run %d times more after %d back ends had ended under it", body, n, enoughEnds)
+		if n > maxFurtherRuns {
+			s.recordBreach("%q was run %d times more after %d back ends had ended under it", body, n, blockThreshold)
 		}
 	}
-	for _, ends := range s.ends {
-		s.report.Ends += len(ends)
+	for _, crashes := range s.crashes {
+		s.report.Ends += len(crashes)
 	}
-	s.report.Poisons = len(s.ends)
+	s.report.Poisons = len(s.crashes)
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -8,17 +8,16 @@
 	"time"
 )
 
-// acceptPause is how long a proxy that can't take a connection waits.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the delay before the next Accept after a failed one.
+const acceptRetryDelay = 20 * time.Millisecond
 
-// proxy stands before an address and can cut it off: silently, so that bytes
-// wait, or by resets.
+// proxy forwards connections to an address. It can stall all traffic or reset all connections.
 type proxy struct {
 	target   string
 	listener net.Listener
 
 	mu     sync.Mutex
-	gate   chan struct{} // closed while bytes may pass
+	gate   chan struct{} // closed while traffic may pass
 	refuse bool
 	open   map[net.Conn]struct{}
 }
@@ -36,8 +35,8 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// accept goes on after an error: a run that is out of descriptors for a moment must not
-// lose a program for the rest of it.
+// accept continues after temporary errors, such as a lack of file descriptors, so that the
+// address stays reachable.
 func (p *proxy) accept() {
 	for {
 		conn, err := p.listener.Accept()
@@ -45,38 +44,39 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		go p.serve(conn)
 	}
 }
 
-func (p *proxy) serve(near net.Conn) {
-	defer near.Close()
-	p.pass()
+func (p *proxy) serve(downstream net.Conn) {
+	defer downstream.Close()
+	p.waitOpen()
 	if p.refusing() {
 		return
 	}
-	far, err := net.DialTimeout("tcp", p.target, time.Second)
+	upstream, err := net.DialTimeout("tcp", p.target, time.Second)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	p.note(near, far)
-	defer p.forget(near, far)
+	defer upstream.Close()
+	p.track(downstream, upstream)
+	defer p.untrack(downstream, upstream)
 	done := make(chan struct{}, 2)
-	go p.copy(near, far, done)
-	go p.copy(far, near, done)
+	go p.copy(downstream, upstream, done)
+	go p.copy(upstream, downstream, done)
 	<-done
 }
 
-// copy moves bytes while the gate is open. A closed sender closes both sides.
+// copy forwards bytes while the gate is open. At EOF it closes the write side of the
+// destination.
 func (p *proxy) copy(to, from net.Conn, done chan<- struct{}) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
-		p.pass()
+		p.waitOpen()
 		if n > 0 {
 			if _, failed := to.Write(buffer[:n]); failed != nil {
 				err = failed
@@ -92,8 +92,8 @@
 	}
 }
 
-// pass waits until bytes may pass.
-func (p *proxy) pass() {
+// waitOpen blocks until the gate is open.
+func (p *proxy) waitOpen() {
 	p.mu.Lock()
 	gate := p.gate
 	p.mu.Unlock()
@@ -106,7 +106,7 @@
 	return p.refuse
 }
 
-func (p *proxy) note(conns ...net.Conn) {
+func (p *proxy) track(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -114,7 +114,7 @@
 	}
 }
 
-func (p *proxy) forget(conns ...net.Conn) {
+func (p *proxy) untrack(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -122,17 +122,17 @@
 	}
 }
 
-// cut holds all bytes back for a time.
+// cut stalls all traffic until wait returns.
 func (p *proxy) cut(wait func()) {
 	p.mu.Lock()
-	held := make(chan struct{})
-	p.gate = held
+	blocked := make(chan struct{})
+	p.gate = blocked
 	p.mu.Unlock()
 	wait()
-	close(held)
+	close(blocked)
 }
 
-// reset ends all connections and refuses new ones for a time.
+// reset closes all connections with a TCP reset and refuses new ones until wait returns.
 func (p *proxy) reset(wait func()) {
 	p.mu.Lock()
 	p.refuse = true
--- a/internal/soak/pushback.go
+++ b/internal/soak/pushback.go
@@ -9,91 +9,93 @@
 	"time"
 )
 
-// Faults of what back ends say in answers, and of their names. They have a random source
-// of their own, so that a seed's other faults are the ones that it always had.
-var answerFaults = []fault{
-	{"back ends push back", (*Soak).pushBack},
-	{"a back end says in answers that it drains", (*Soak).drainInAnswers},
-	{"back ends start again under their names", (*Soak).startAgain},
+// responseFaults are the faults that concern response headers and reused names of back ends.
+// They have their own random source, so that they don't change the other faults of a seed.
+var responseFaults = []fault{
+	{"back ends push back", (*Soak).pushBackRequests},
+	{"a back end says in answers that it drains", (*Soak).announceDrain},
+	{"back ends start again under their names", (*Soak).restartBackends},
 }
 
 const (
-	answerFaultPause = 3 * time.Second
-	// longestPushback is the longest that a back end asks for, and shortestPushback the
-	// shortest: time enough for many requests after underWay.
-	longestPushback  = 4 * time.Second
-	shortestPushback = time.Second
-	// underWay is how long after its answer a back end may still get what was sent
-	// before, and spared how many requests of a router it bears from then on.
-	underWay = 500 * time.Millisecond
-	spared   = 2
+	responseFaultPause = 3 * time.Second
+	// minPushback and maxPushback bound the Retry-After delay of a back end. The minimum
+	// exceeds inFlightGrace, so that the delay can be checked.
+	maxPushback = 4 * time.Second
+	minPushback = time.Second
+	// inFlightGrace is the time after a response in which requests that were already sent may
+	// arrive. After it, pushbackTolerance is the number of requests that each sender may still
+	// send.
+	inFlightGrace     = 500 * time.Millisecond
+	pushbackTolerance = 2
 )
 
-// asked is what a back end has asked of those that send to it, by their names. It is safe for
-// concurrent use.
-type asked struct {
-	mu    sync.Mutex
-	waits map[string][]*waiting
-	// drains is when it first said to each that it drains.
-	drains map[string]time.Duration
+// notices records what a back end announced to each sender, by the sender's name. It is safe
+// for concurrent use.
+type notices struct {
+	mu        sync.Mutex
+	pushbacks map[string][]*pushbackPeriod
+	// drainNotices maps each sender to the time of its first response with the draining header.
+	drainNotices map[string]time.Duration
 }
 
-// waiting is a time for which a back end wants nothing.
-type waiting struct {
+// pushbackPeriod is a period in which a sender must not send requests.
+type pushbackPeriod struct {
 	from, to time.Duration
-	arrived  int
+	requests int
 }
 
-func newAsked() *asked {
-	return &asked{waits: map[string][]*waiting{}, drains: map[string]time.Duration{}}
+func newNotices() *notices {
+	return &notices{pushbacks: map[string][]*pushbackPeriod{}, drainNotices: map[string]time.Duration{}}
 }
 
-// injectAnswers brings the faults of answers about until the context ends. Builds before
-// this one read nothing of them, and keep out what starts again under its name.
-func (s *Soak) injectAnswers(ctx context.Context) {
+// injectResponseFaults starts random response faults until the context ends. It does nothing
+// with an older build, which ignores these headers and rejects a restarted back end under the
+// same name.
+func (s *Soak) injectResponseFaults(ctx context.Context) {
 	if s.config.Older != "" {
 		return
 	}
 	r := rand.New(rand.NewPCG(s.config.Seed, 3))
-	for wait(ctx, time.Duration(r.Int64N(int64(2*answerFaultPause)))) {
-		s.begin(ctx, r, answerFaults[r.IntN(len(answerFaults))], 1)
+	for wait(ctx, time.Duration(r.Int64N(int64(2*responseFaultPause)))) {
+		s.startFault(ctx, r, responseFaults[r.IntN(len(responseFaults))], 1)
 	}
 }
 
-// pushBack makes one back end, some of a pool or all of it turn all requests away for a
-// while and ask for a time without any.
-func (s *Soak) pushBack(ctx context.Context, r *rand.Rand) {
+// pushBackRequests makes one back end, some of a pool or a whole pool reject all requests with
+// a Retry-After delay for a while.
+func (s *Soak) pushBackRequests(ctx context.Context, r *rand.Rand) {
 	pool, share := poolEngines, r.IntN(4)
 	if r.IntN(2) == 0 {
 		pool = poolWorkers
 	}
-	length := shortestPushback + time.Duration(r.Int64N(int64(longestPushback-shortestPushback)))
+	length := minPushback + time.Duration(r.Int64N(int64(maxPushback-minPushback)))
 	var chosen []*backend
 	for i, b := range s.listBackends() {
 		if b.pool == pool && (share == 0 || i%share == 0) {
 			chosen = append(chosen, b)
-			b.wants.Store(int64(length))
+			b.pushback.Store(int64(length))
 		}
 	}
-	wait(ctx, between(r))
+	wait(ctx, faultDuration(r))
 	for _, b := range chosen {
-		b.wants.Store(0)
+		b.pushback.Store(0)
 	}
 }
 
-// drainInAnswers lets a back end leave that tells those who send to it before it tells the
-// coordinators.
-func (s *Soak) drainInAnswers(ctx context.Context, r *rand.Rand) {
-	s.leave(ctx, pick(r, s.listBackends()), func(b *backend) {
-		b.announces.Store(true)
-		wait(ctx, between(r))
+// announceDrain drains a back end that announces the drain in responses before it reports it to
+// the coordinators.
+func (s *Soak) announceDrain(ctx context.Context, r *rand.Rand) {
+	s.drainAndStop(ctx, pick(r, s.listBackends()), func(b *backend) {
+		b.announcesDrain.Store(true)
+		wait(ctx, faultDuration(r))
 	})
 }
 
-// startAgain ends one back end or some and starts others under their names at once, before
-// anyone sees that they are silent, or later.
-func (s *Soak) startAgain(ctx context.Context, r *rand.Rand) {
-	pause := time.Duration(r.IntN(2)) * between(r)
+// restartBackends crashes up to three back ends and starts others under their names, either at
+// once, before missed heartbeats are detected, or later.
+func (s *Soak) restartBackends(ctx context.Context, r *rand.Rand) {
+	pause := time.Duration(r.IntN(2)) * faultDuration(r)
 	for range 1 + r.IntN(3) {
 		b := pick(r, s.listBackends())
 		if !s.remove(b) {
@@ -102,73 +104,73 @@
 		b.crash()
 		s.group.Go(func() {
 			wait(ctx, pause)
-			s.addNamed(b.pool, b.id)
+			s.addBackendNamed(b.pool, b.id)
 		})
 	}
 }
 
-// arrives checks what a back end asked of who sends to it, answers with what it asks now
-// and returns false if that is all.
-func (b *backend) arrives(w http.ResponseWriter, sender string) bool {
+// admit checks the request against earlier notices and adds the current ones to the response.
+// It returns false if it rejected the request with pushback.
+func (b *backend) admit(w http.ResponseWriter, sender string) bool {
 	now := b.soak.now()
-	b.asked.mu.Lock()
-	defer b.asked.mu.Unlock()
-	b.checkAsked(now, sender)
-	if b.announces.Load() {
+	b.notices.mu.Lock()
+	defer b.notices.mu.Unlock()
+	b.checkNotices(now, sender)
+	if b.announcesDrain.Load() {
 		w.Header().Set(names.Draining, "1")
-		if _, said := b.asked.drains[sender]; !said {
-			b.asked.drains[sender] = now
+		if _, announced := b.notices.drainNotices[sender]; !announced {
+			b.notices.drainNotices[sender] = now
 		}
 	}
-	length := time.Duration(b.wants.Load())
+	length := time.Duration(b.pushback.Load())
 	if length == 0 {
 		return true
 	}
-	b.asked.waits[sender] = append(b.asked.waits[sender], &waiting{from: now + underWay, to: now + length})
+	b.notices.pushbacks[sender] = append(b.notices.pushbacks[sender], &pushbackPeriod{from: now + inFlightGrace, to: now + length})
 	w.Header().Set("Retry-After", fmt.Sprintf("%.3f", length.Seconds()))
 	w.Header().Set(names.NotRun, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 	return false
 }
 
-// checkAsked notes a breach if something comes that the back end had asked not to get. It
-// is excused if the sender was at fault since, or the back end's link.
-func (b *backend) checkAsked(now time.Duration, sender string) {
+// checkNotices records a breach if a sender ignores a pushback or drain notice, unless the
+// sender or the back end's link was disturbed since.
+func (b *backend) checkNotices(now time.Duration, sender string) {
 	s := b.soak
-	for _, w := range b.asked.waits[sender] {
+	for _, w := range b.notices.pushbacks[sender] {
 		if now < w.from || now >= w.to {
 			continue
 		}
-		w.arrived++
-		if w.arrived > spared && !s.faulty(b, sender, w.from-underWay) {
-			s.breach("%v: %s got %d requests by %s within the %v for which it wanted none", now, b.id, w.arrived, sender, w.to-w.from+underWay)
+		w.requests++
+		if w.requests > pushbackTolerance && !s.disturbedSince(b, sender, w.from-inFlightGrace) {
+			s.recordBreach("%v: %s got %d requests by %s within the %v for which it wanted none", now, b.id, w.requests, sender, w.to-w.from+inFlightGrace)
 		}
 	}
-	if said, does := b.asked.drains[sender]; does && now > said+drainBinds+slack && !s.faulty(b, sender, said) {
-		s.breach("%v: %s got a request by %s %v after it had said to it that it drains", now, b.id, sender, now-said)
+	if announced, ok := b.notices.drainNotices[sender]; ok && now > announced+drainDeadline+slack && !s.disturbedSince(b, sender, announced) {
+		s.recordBreach("%v: %s got a request by %s %v after it had said to it that it drains", now, b.id, sender, now-announced)
 	}
 }
 
-// faulty tells whether a program or a back end's link was at fault at some time since a
-// moment, contact before it included.
-func (s *Soak) faulty(b *backend, sender string, since time.Duration) bool {
+// disturbedSince reports whether the sender or the back end's link was disturbed after since,
+// or within recoveryTime before it.
+func (s *Soak) disturbedSince(b *backend, sender string, since time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, d := range s.disturbances {
-		if (d.program == sender || d.backend == b) && (d.to < 0 || d.to+contact >= since) {
+		if (d.program == sender || d.backend == b) && (d.to < 0 || d.to+recoveryTime >= since) {
 			return true
 		}
 	}
 	return false
 }
 
-// cutOff lets something happen to a back end's link, and notes when.
-func (s *Soak) cutOff(b *backend, happen func()) {
+// disturbLink applies a fault to the link of a back end and records its duration.
+func (s *Soak) disturbLink(b *backend, apply func()) {
 	d := &disturbance{backend: b, from: s.now(), to: -1}
 	s.mu.Lock()
 	s.disturbances = append(s.disturbances, d)
 	s.mu.Unlock()
-	happen()
+	apply()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d.to = s.now()
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak runs a deployment of coordinators and routers without disks as
-// real processes, brings faults about by signals and loopback proxies, and
-// checks what was promised. The seed fixes the faults.
+// Package soak runs a deployment of coordinators and diskless routers as real processes,
+// injects faults with signals and loopback proxies, and checks the deployment's guarantees. The
+// seed determines the sequence of faults.
 package soak
 
 import (
@@ -23,32 +23,33 @@
 )
 
 const (
-	coordinators = 5
-	seeds        = 3
-	startLimit   = 20 * time.Second
-	// settle is the time without new faults at the end of a run.
+	coordinators     = 5
+	seedCoordinators = 3
+	startTimeout     = 20 * time.Second
+	// settle is the final part of a run, in which no new faults are injected.
 	settle = 6 * time.Second
-	// drainBinds is how soon after its acknowledgement a drain binds.
-	drainBinds = 2 * time.Second
-	revocation = 5 * time.Second
-	// clingingPart is of how many callers one keeps its connection open.
-	clingingPart = 3
+	// drainDeadline is the time after an acknowledged drain by which requests must stop
+	// arriving.
+	drainDeadline = 2 * time.Second
+	revocation    = 5 * time.Second
+	// persistentCallerRatio makes one of this many callers keep its connection open.
+	persistentCallerRatio = 3
 )
 
-// Config says what a soak runs.
+// Config holds the parameters of a soak run.
 type Config struct {
-	// Binary is the quinceridge program.
+	// Binary is the path of the quinceridge program.
 	Binary string
-	// Older is an earlier build of it that all processes run first and that Binary replaces,
-	// one process after the other; empty for none.
+	// Older is the path of an earlier build, which all processes run first and which Binary
+	// then replaces, one process at a time. Empty means no upgrade.
 	Older string
-	// Folder takes settings, data and logs.
+	// Folder is the directory for settings, data and logs.
 	Folder  string
 	Seed    uint64
 	Length  time.Duration
 	Routers int
 	Callers int
-	// Engines and Workers are the back ends of the two pools.
+	// Engines and Workers are the numbers of back ends in the two pools.
 	Engines int
 	Workers int
 }
@@ -65,43 +66,46 @@
 	busy    atomic.Bool
 }
 
-// Soak is one run.
+// Soak is the state of one run.
 type Soak struct {
 	config       Config
 	ctx          context.Context
-	begun        time.Time
+	startedAt    time.Time
 	client       *http.Client
 	coordinators []*program
 	routers      []*program
-	ledger       ledger
+	runLog       runLog
 	results      results
-	// asked maps request IDs to the routers that were asked.
-	asked   sync.Map
-	started atomic.Int64
-	named   atomic.Int64
-	group   sync.WaitGroup
-	disk    sync.Mutex
+	// requestRouters maps request IDs to the names of the routers that received them.
+	requestRouters  sync.Map
+	backendsStarted atomic.Int64
+	weightsVersion  atomic.Int64
+	group           sync.WaitGroup
+	// quorumMu is held by a fault that removes coordinators from the group, so that only one
+	// such fault runs at a time.
+	quorumMu sync.Mutex
 
 	mu       sync.Mutex
 	acked    []acknowledged
 	backends []*backend
-	// ends are when back ends ended under each poison request, by its body.
-	ends         map[string][]time.Duration
+	// crashes maps the body of each poison request to the times at which it crashed back ends.
+	crashes      map[string][]time.Duration
 	disturbances []*disturbance
 	report       Report
 	holders      map[uint64]string
 }
 
-// now is the time since the run began.
-func (s *Soak) now() time.Duration { return time.Since(s.begun) }
+// now returns the time since the start of the run.
+func (s *Soak) now() time.Duration { return time.Since(s.startedAt) }
 
-// Run runs a soak and returns what it found.
+// Run executes a soak and returns its report. The error is non-nil only if the deployment could
+// not be started.
 func Run(ctx context.Context, config Config) (*Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s := &Soak{config: config, ctx: ctx, begun: time.Now(), client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
-		holders: map[uint64]string{}, ends: map[string][]time.Duration{}}
-	s.named.Store(1)
+	s := &Soak{config: config, ctx: ctx, startedAt: time.Now(), client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
+		holders: map[uint64]string{}, crashes: map[string][]time.Duration{}}
+	s.weightsVersion.Store(1)
 	s.report = Report{Seed: config.Seed, Faults: map[string]int{}, Outcomes: map[string]int{}}
 	defer s.stop()
 	if err := s.launch(); err != nil {
@@ -112,28 +116,29 @@
 	return &s.report, nil
 }
 
-// drive lets callers, operator and faults work.
+// drive runs the callers, the operator and the fault injectors until the run's length has
+// passed.
 func (s *Soak) drive(ctx context.Context) {
-	working, done := context.WithTimeout(ctx, s.config.Length)
-	defer done()
+	runCtx, cancelRun := context.WithTimeout(ctx, s.config.Length)
+	defer cancelRun()
 	var group sync.WaitGroup
-	group.Go(func() { s.operate(working) })
+	group.Go(func() { s.runOperator(runCtx) })
 	for i := range s.config.Callers {
 		group.Go(func() {
-			if i%clingingPart == 0 {
-				s.clingingCaller(working, i)
+			if i%persistentCallerRatio == 0 {
+				s.persistentCaller(runCtx, i)
 				return
 			}
-			s.caller(working, i)
+			s.caller(runCtx, i)
 		})
 	}
-	faulty, calm := context.WithTimeout(working, s.config.Length-settle)
-	defer calm()
-	wait(faulty, 3*time.Second)
-	group.Go(func() { s.injectAnswers(faulty) })
-	group.Go(func() { s.injectLimits(faulty) })
-	group.Go(func() { s.upgrade(faulty) })
-	s.inject(faulty)
+	faultCtx, cancelFaults := context.WithTimeout(runCtx, s.config.Length-settle)
+	defer cancelFaults()
+	wait(faultCtx, 3*time.Second)
+	group.Go(func() { s.injectResponseFaults(faultCtx) })
+	group.Go(func() { s.injectLimits(faultCtx) })
+	group.Go(func() { s.upgrade(faultCtx) })
+	s.inject(faultCtx)
 	group.Wait()
 }
 
@@ -172,13 +177,13 @@
 	return s.awaitReady()
 }
 
-// awaitReady puts a first configuration in force and waits for the routers.
+// awaitReady applies the first configuration and waits until all routers are ready.
 func (s *Soak) awaitReady() error {
-	ctx, cancel := context.WithTimeout(s.ctx, startLimit)
+	ctx, cancel := context.WithTimeout(s.ctx, startTimeout)
 	defer cancel()
 	for s.control(ctx, http.MethodPut, "/v1/configuration", documentOf(1)) != http.StatusOK {
 		if !wait(ctx, 100*time.Millisecond) {
-			return errors.New("no configuration was taken")
+			return errors.New("no coordinator accepted the first configuration")
 		}
 	}
 	for _, p := range s.routers {
@@ -204,14 +209,14 @@
 }
 
 func (s *Soak) writeSettings(p *program, bootstrap bool) error {
-	var known []string
-	for _, c := range s.coordinators[:seeds] {
-		known = append(known, fmt.Sprintf("%q", c.proxy.address()))
+	var seedAddresses []string
+	for _, c := range s.coordinators[:seedCoordinators] {
+		seedAddresses = append(seedAddresses, fmt.Sprintf("%q", c.proxy.address()))
 	}
-	text := fmt.Sprintf("name: %s\nzone: zone\nlisten: %q\nseeds: [%s]\nlog: {format: json}\n", p.name, p.listen, strings.Join(known, ", "))
+	text := fmt.Sprintf("name: %s\nzone: zone\nlisten: %q\nseeds: [%s]\nlog: {format: json}\n", p.name, p.listen, strings.Join(seedAddresses, ", "))
 	if p.proxy != nil {
 		text += fmt.Sprintf("peer_listen: %q\npeer_address: %q\nbootstrap: %v\ndata_directory: %q\nbackend_heartbeat: %v\nweights_deadline: 8s\norder_lease: 3s\nmetrics: %q\n",
-			p.peer, p.proxy.address(), bootstrap, p.data, heartbeatEvery, p.ready)
+			p.peer, p.proxy.address(), bootstrap, p.data, heartbeatInterval, p.ready)
 	} else {
 		text += fmt.Sprintf("readiness: %q\nrevocation: %v\nstop_grace: 8s\nretry_ratio: 0.2\nretry_burst: 50\nretry_window: 10s\nmemory_limit: 128\n", p.ready, revocation)
 	}
@@ -219,11 +224,12 @@
 }
 
 func (s *Soak) addBackend(pool string) {
-	s.addNamed(pool, fmt.Sprintf("%s-%d", pool, s.started.Add(1)))
+	s.addBackendNamed(pool, fmt.Sprintf("%s-%d", pool, s.backendsStarted.Add(1)))
 }
 
-// addNamed starts a back end under a name that it may have had.
-func (s *Soak) addNamed(pool, name string) {
+// addBackendNamed starts a back end under the given name, which a stopped back end may have
+// had.
+func (s *Soak) addBackendNamed(pool, name string) {
 	b, err := s.startBackend(pool, name)
 	if err != nil {
 		return
@@ -239,7 +245,8 @@
 	return slices.Clone(s.backends)
 }
 
-// remove takes a back end off the list, unless it is the pool's last but one.
+// remove deletes a back end from the list and reports whether it did. It keeps at least two
+// back ends in each pool.
 func (s *Soak) remove(b *backend) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -257,7 +264,7 @@
 	return true
 }
 
-// without returns the list without a back end. The lock is held.
+// without returns a copy of the list without b. The caller must hold s.mu.
 func (s *Soak) without(b *backend) []*backend {
 	return slices.DeleteFunc(slices.Clone(s.backends), func(x *backend) bool { return x == b })
 }
--- a/internal/soak/upgrade.go
+++ b/internal/soak/upgrade.go
@@ -8,14 +8,16 @@
 )
 
 const (
-	// upgradePause is the longest time between two programs that are replaced.
+	// upgradePause is the maximum time between two replacements.
 	upgradePause = 1500 * time.Millisecond
-	// claimPause is the time between two tries for a program that is at fault.
-	claimPause = 50 * time.Millisecond
+	// acquireRetryDelay is the time between two attempts to acquire a process that another
+	// fault holds.
+	acquireRetryDelay = 50 * time.Millisecond
 )
 
-// upgrade replaces all programs of the older build, one after the other in a drawn order,
-// beside all faults. In one of three runs it goes back halfway, and begins anew.
+// upgrade replaces the older build of all processes, one at a time in random order, while other
+// faults are injected. About one seed in three first upgrades half of the processes and rolls
+// them back.
 func (s *Soak) upgrade(ctx context.Context) {
 	if s.config.Older == "" {
 		return
@@ -32,7 +34,7 @@
 	s.replaceAll(ctx, r, programs, s.config.Binary)
 }
 
-// replaceAll stops programs as planned and starts another build of each.
+// replaceAll stops the processes gracefully and restarts them with the given build.
 func (s *Soak) replaceAll(ctx context.Context, r *rand.Rand, programs []*program, binary string) {
 	for _, p := range programs {
 		if !wait(ctx, time.Duration(r.Int64N(int64(upgradePause)))) {
@@ -48,14 +50,14 @@
 
 func (s *Soak) replace(ctx context.Context, p *program, binary string) bool {
 	for {
-		release, free := s.claim(p)
-		if free {
+		release, ok := s.acquire(p)
+		if ok {
 			defer release()
 			break
 		}
-		if !wait(ctx, claimPause) {
+		if !wait(ctx, acquireRetryDelay) {
 			return false
 		}
 	}
-	return p.startAgain(binary) == nil
+	return p.restartWith(binary) == nil
 }
