--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -10,50 +10,51 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// inForceLimit is how soon after acceptance no router may serve by an older
-// bundle: the longest lease with its slack for drift, and a heartbeat.
+// inForceLimit is the time after a bundle's acceptance by which no router may serve an older
+// one: the longest lease, an allowance for clock drift and one heartbeat.
 const inForceLimit = routerLease + routerLease/4 + time.Second
 
-// checks holds what must stay true in a run.
+// checks verifies the invariants of a run.
 type checks struct {
 	world *world
-	// leaders maps terms to leaders.
+	// leaders maps terms to leader IDs.
 	leaders map[uint64]uint64
-	// digests maps applied indexes to state digests.
+	// digests maps applied log indexes to state digests.
 	digests map[uint64]string
-	// accepted maps versions to digests, and since to the time of acceptance.
-	accepted map[uint64]string
-	since    map[uint64]time.Duration
-	newest   uint64
-	// served maps routers to the highest version that they served by.
+	// accepted maps versions to bundle digests, and acceptedAt to the times of acceptance.
+	accepted   map[uint64]string
+	acceptedAt map[uint64]time.Duration
+	newest     uint64
+	// served maps routers to the highest version that they have served.
 	served map[string]uint64
-	// answers maps request IDs to the first answer.
+	// answers maps request IDs to their first result.
 	answers map[string]state.Result
-	// promised are the digests that operators were told are staged.
-	promised map[uint64]string
-	last     time.Duration
+	// promised maps versions to the digests that were acknowledged as staged or put in force by
+	// a router.
+	promised   map[uint64]string
+	measuredAt time.Duration
 }
 
 func newChecks(w *world) *checks {
 	return &checks{world: w, leaders: map[uint64]uint64{}, digests: map[uint64]string{}, accepted: map[uint64]string{},
-		since: map[uint64]time.Duration{}, served: map[string]uint64{}, answers: map[string]state.Result{}, promised: map[uint64]string{}}
+		acceptedAt: map[uint64]time.Duration{}, served: map[string]uint64{}, answers: map[string]state.Result{}, promised: map[uint64]string{}}
 }
 
-// fail ends the run. The first failure counts.
+// fail ends the run with an error. Only the first failure is kept.
 func (c *checks) fail(format string, args ...any) {
 	if c.world.failure == nil {
 		c.world.failure = errors.Newf("seed %d at %v: "+format, append([]any{c.world.config.Seed, c.world.now()}, args...)...)
 	}
 }
 
-// always checks what must hold after every event.
-func (c *checks) always() {
-	c.oneLeader()
-	c.noOldBundle()
-	c.measure()
+// checkInvariants checks what must hold at any time.
+func (c *checks) checkInvariants() {
+	c.checkSingleLeader()
+	c.checkBundleAge()
+	c.recordTimes()
 }
 
-func (c *checks) oneLeader() {
+func (c *checks) checkSingleLeader() {
 	holders := 0
 	for _, n := range c.world.nodes {
 		if !n.running() {
@@ -79,17 +80,17 @@
 	}
 }
 
-// noOldBundle checks that no router serves by a bundle that was replaced a
-// while ago, and that none serves by a lower version than before.
-func (c *checks) noOldBundle() {
+// checkBundleAge verifies that no router serves a bundle that was superseded more than
+// inForceLimit ago, or a lower version than it served before.
+func (c *checks) checkBundleAge() {
 	for _, r := range c.world.routers {
 		mode := r.mode()
 		if mode == agent.ModeNone {
 			continue
 		}
 		version := r.agent.InForce().Stamp.Version
-		if version < c.newest && c.world.now() > c.since[version+1]+inForceLimit {
-			c.fail("%s serves (%s) by version %d, and version %d has been accepted since %v", r.self.Name, mode, version, version+1, c.since[version+1])
+		if version < c.newest && c.world.now() > c.acceptedAt[version+1]+inForceLimit {
+			c.fail("%s serves (mode %s) version %d, but version %d was accepted at %v", r.self.Name, mode, version, version+1, c.acceptedAt[version+1])
 		}
 		if version < c.served[r.self.Name] {
 			c.fail("%s went back from version %d to %d", r.self.Name, c.served[r.self.Name], version)
@@ -98,20 +99,20 @@
 	}
 }
 
-func (c *checks) measure() {
-	passed := c.world.now() - c.last
-	c.last = c.world.now()
+func (c *checks) recordTimes() {
+	elapsed := c.world.now() - c.measuredAt
+	c.measuredAt = c.world.now()
 	for _, r := range c.world.routers {
 		if r.mode() == agent.ModeHeld {
-			c.world.report.HeldTime += passed
+			c.world.report.HeldTime += elapsed
 		}
 	}
 	if c.world.leader() != nil {
-		c.world.report.LeadTime += passed
+		c.world.report.LeadTime += elapsed
 	}
 }
 
-// applied checks a node's state machine after it has applied entries.
+// applied verifies that nodes with the same applied index have the same state.
 func (c *checks) applied(n *node) {
 	machine := n.core.Machine()
 	digest, err := machine.Digest()
@@ -120,59 +121,59 @@
 		return
 	}
 	if known, ok := c.digests[machine.Applied()]; ok && known != digest {
-		c.fail("%s has another state than others at entry %d", n.name, machine.Applied())
+		c.fail("%s has a different state than another node at log index %d", n.name, machine.Applied())
 	}
 	c.digests[machine.Applied()] = digest
 	for _, v := range machine.History() {
-		c.accept(v.Version, v.Digest)
+		c.recordAccepted(v.Version, v.Digest)
 	}
 }
 
-func (c *checks) accept(version uint64, digest string) {
+func (c *checks) recordAccepted(version uint64, digest string) {
 	if known, ok := c.accepted[version]; ok {
 		if known != digest {
-			c.fail("version %d was accepted with two contents", version)
+			c.fail("version %d was accepted with two different bundles", version)
 		}
 		return
 	}
 	c.accepted[version] = digest
-	c.since[version] = c.world.now()
+	c.acceptedAt[version] = c.world.now()
 	c.newest = max(c.newest, version)
 	c.world.report.Accepted = c.newest
 }
 
-// inForce checks a bundle that a router has put in force.
-func (c *checks) inForce(r *router) {
+// checkInForce verifies that routers never have different bundles of the same version in force.
+func (c *checks) checkInForce(r *router) {
 	held := r.agent.InForce()
 	if held == nil {
 		return
 	}
 	version := held.Stamp.Version
 	if known, ok := c.promised[version]; ok && known != held.Stamp.Digest {
-		c.fail("%s has another content of version %d in force", r.self.Name, version)
+		c.fail("%s has a different bundle of version %d in force", r.self.Name, version)
 	}
 	c.promised[version] = held.Stamp.Digest
 }
 
-// answered checks an operator's answer: a resend gets the first one, and what
-// was called staged is the only content of its version.
+// answered verifies that a retried request gets its first result, and that only one bundle of
+// each version is staged.
 func (c *checks) answered(requestID, digest string, r state.Result) {
 	if first, ok := c.answers[requestID]; ok && (first.Code != r.Code || first.Digest != r.Digest) {
-		c.fail("request %s got two answers", requestID)
+		c.fail("request %s got two different results", requestID)
 	}
 	c.answers[requestID] = r
 	if r.Code != state.CodeOK || !r.Staged {
 		return
 	}
 	if known, ok := c.promised[r.Version]; ok && known != digest {
-		c.fail("version %d was staged with two contents", r.Version)
+		c.fail("version %d was staged with two different bundles", r.Version)
 	}
 	c.promised[r.Version] = digest
 }
 
-// converged checks the end of a run: all is well again and nothing that was
-// promised is lost.
-func (c *checks) converged() {
+// checkConverged verifies the final state: there is a leader, no promised bundle is lost, and
+// all routers and voters are up to date.
+func (c *checks) checkConverged() {
 	w := c.world
 	leader := w.leader()
 	if leader == nil {
@@ -185,7 +186,7 @@
 	}
 	for version, digest := range c.promised {
 		if head == nil || version > head.Version || c.accepted[version] != digest {
-			c.fail("version %d was promised and is not accepted", version)
+			c.fail("version %d was promised but not accepted", version)
 		}
 	}
 	for _, r := range w.routers {
@@ -198,11 +199,11 @@
 		}
 	}
 	for _, id := range leader.core.Status().Membership.Voters {
-		if n := w.node(id); n == nil || !n.running() || n.core.Machine().Applied()+mostBehind < leader.core.Machine().Applied() {
+		if n := w.node(id); n == nil || !n.running() || n.core.Machine().Applied()+maxLag < leader.core.Machine().Applied() {
 			c.fail("voter %d has not caught up at the end", id)
 		}
 	}
 }
 
-// mostBehind is how many entries a healthy node may be behind.
-const mostBehind = 10
+// maxLag is the number of entries by which a healthy voter may lag behind the leader.
+const maxLag = 10
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -10,8 +10,7 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// operatorName signs all bundles of a run, with a key that is the same in every
-// run.
+// operatorName signs all bundles, with a fixed key.
 const operatorName = "operator"
 
 var operatorKey = strings.Repeat("5a", 32)
@@ -24,31 +23,31 @@
 	return state.Trust{Operators: map[string]string{operatorName: public}, Approvals: 1}
 }
 
-// operators race each other with bundles of equal version numbers, and resend
-// what got no answer, to other nodes too.
+// operators propose competing bundles with the same version number and retry requests that got
+// no response, possibly at another node.
 type operators struct {
 	world *world
 	count int
 }
 
 const (
-	operatorCount  = 2
-	operatorPause  = 1500 * time.Millisecond
-	resendAfter    = 300 * time.Millisecond
-	resends        = 20
-	claimPause     = 400 * time.Millisecond
-	claimPatience  = 2 * time.Second
-	claimKeys      = 12
-	finishAfter    = 200 * time.Millisecond
-	crashBefore    = 0.2 // share of attempts whose router dies before the outcome
-	doubleDelivery = 3 * time.Second
+	operatorCount     = 2
+	operatorInterval  = 1500 * time.Millisecond
+	resendInterval    = 300 * time.Millisecond
+	maxResends        = 20
+	claimInterval     = 400 * time.Millisecond
+	claimTimeout      = 2 * time.Second
+	claimKeys         = 12
+	finishDelay       = 200 * time.Millisecond
+	crashProbability  = 0.2 // probability that a router crashes before it records the outcome
+	maxDuplicateDelay = 3 * time.Second
 )
 
 func newOperators(w *world) *operators {
 	o := &operators{world: w}
 	for i := range operatorCount {
 		name := fmt.Sprintf("operator-%d", i+1)
-		w.every(operatorPause, func() {
+		w.every(operatorInterval, func() {
 			if w.now() < w.config.Faults {
 				o.propose(name)
 			}
@@ -57,11 +56,11 @@
 	return o
 }
 
-// propose reads the head from some node, which may be behind, and offers a
-// bundle that follows it.
+// propose reads the head from a random node, which may lag behind, and proposes a bundle with
+// the head as its parent.
 func (o *operators) propose(name string) {
 	w := o.world
-	from := w.anyNode()
+	from := w.randomNode()
 	if !from.running() {
 		return
 	}
@@ -84,42 +83,42 @@
 	}
 	command := state.Command{RequestID: fmt.Sprintf("%s/%d", name, o.count), Propose: &state.Propose{Canonical: canonical,
 		Signature: state.Signature{Operator: operatorName, Signature: signature}, Bootstrap: trust()}}
-	o.send(name, command, digest, resends)
+	o.send(name, command, digest, maxResends)
 }
 
 func (o *operators) send(name string, command state.Command, digest string, left int) {
 	w := o.world
 	answered := false
-	w.submit(name, w.anyNode(), command, func() {}, func(r state.Result, err error) {
+	w.submit(name, w.randomNode(), command, func() {}, func(r state.Result, err error) {
 		if err != nil || answered {
 			return
 		}
 		answered = true
 		w.checks.answered(command.RequestID, digest, r)
 	})
-	w.queue.After(resendAfter, func() {
+	w.queue.After(resendInterval, func() {
 		if !answered && left > 0 {
 			o.send(name, command, digest, left-1)
 		}
 	})
 }
 
-// claimers are callers that repeat keys through different routers.
+// claimers simulate callers that reuse keys through different routers.
 type claimers struct {
 	world    *world
 	attempts int
 	calls    []*ClaimCall
 	// runs counts the attempts that ran, by key.
 	runs map[string]int
-	// told says which attempts were answered "not run".
-	told map[string]bool
+	// answeredNotRun contains the attempts whose callers received "not run".
+	answeredNotRun map[string]bool
 }
 
 func newClaimers(w *world) *claimers {
-	c := &claimers{world: w, runs: map[string]int{}, told: map[string]bool{}}
+	c := &claimers{world: w, runs: map[string]int{}, answeredNotRun: map[string]bool{}}
 	for i := range 3 {
 		name := fmt.Sprintf("caller-%d", i+1)
-		w.every(claimPause, func() {
+		w.every(claimInterval, func() {
 			if w.now() < w.config.Faults {
 				c.attempt(name)
 			}
@@ -128,40 +127,40 @@
 	return c
 }
 
-// attempt is one try of one call, as a router makes it.
+// attempt makes one attempt at a call, as a router does.
 func (c *claimers) attempt(name string) {
 	w := c.world
 	c.attempts++
 	key := fmt.Sprintf("key-%d", w.random.IntN(claimKeys)+int(w.now()/(10*time.Second))*claimKeys)
 	op := state.ClaimOperation{Kind: state.ClaimAcquire, Tenant: "tenant", Key: key, Attempt: fmt.Sprintf("attempt-%d", c.attempts), Request: "r"}
-	over := false
+	settled := false
 	c.submit(name, op, func(r state.Result, err error) {
-		if err != nil || (over && w.config.Mutant != MutantNoVoid) {
+		if err != nil || (settled && w.config.Mutant != MutantNoVoid) {
 			return
 		}
-		over = true
+		settled = true
 		if r.Claims[0].State == state.ClaimGranted {
 			c.run(name, op)
 		}
 	})
-	w.queue.After(claimPatience, func() {
-		if over {
+	w.queue.After(claimTimeout, func() {
+		if settled {
 			return
 		}
-		// The caller is told that the call was not run.
-		over = true
-		c.told[op.Attempt] = true
+		// The caller receives "not run".
+		settled = true
+		c.answeredNotRun[op.Attempt] = true
 		w.report.NotRun++
-		c.resend(name, op, state.ClaimRelease, resends)
+		c.resend(name, op, state.ClaimRelease, maxResends)
 	})
 }
 
-// submit sends an operation to some node and records the call.
+// submit sends an operation to a random node and records the call.
 func (c *claimers) submit(name string, op state.ClaimOperation, done func(state.Result, error)) {
 	w := c.world
 	call := &ClaimCall{Operation: op, Start: w.now(), End: -1}
 	c.calls = append(c.calls, call)
-	w.submit(name, w.anyNode(), claims(op), func() { call.appended = true }, func(r state.Result, err error) {
+	w.submit(name, w.randomNode(), claims(op), func() { call.appended = true }, func(r state.Result, err error) {
 		if err == nil && call.End < 0 {
 			call.End, call.State = w.now(), r.Claims[0].State
 		}
@@ -179,14 +178,14 @@
 	if c.runs[op.Key] > 1 {
 		c.world.checks.fail("key %s ran %d times", op.Key, c.runs[op.Key])
 	}
-	if c.told[op.Attempt] {
-		c.world.checks.fail("%s ran after it was called not run", op.Attempt)
+	if c.answeredNotRun[op.Attempt] {
+		c.world.checks.fail("%s ran after it was reported as not run", op.Attempt)
 	}
-	if c.world.chance(crashBefore) {
+	if c.world.chance(crashProbability) {
 		return
 	}
 	op.Outcome = &state.Outcome{Status: 200, Body: []byte(op.Attempt)}
-	c.world.queue.After(finishAfter, func() { c.resend(name, op, state.ClaimFinish, resends) })
+	c.world.queue.After(finishDelay, func() { c.resend(name, op, state.ClaimFinish, maxResends) })
 }
 
 func (c *claimers) resend(name string, op state.ClaimOperation, kind state.ClaimKind, left int) {
@@ -194,15 +193,15 @@
 	op.Kind = kind
 	answered := false
 	c.submit(name, op, func(_ state.Result, err error) { answered = answered || err == nil })
-	w.queue.After(resendAfter, func() {
+	w.queue.After(resendInterval, func() {
 		if !answered && left > 0 {
 			c.resend(name, op, kind, left-1)
 		}
 	})
 }
 
-// hand gives the recorded calls away.
-func (c *claimers) hand(record func(ClaimCall)) {
+// replay passes the recorded calls that reached a log to record.
+func (c *claimers) replay(record func(ClaimCall)) {
 	for _, call := range c.calls {
 		if record != nil && call.appended {
 			record(*call)
@@ -210,15 +209,15 @@
 	}
 }
 
-// fencedEngine is an engine that takes orders.
+// fencedEngine is an engine that accepts orders in the order of their fences.
 type fencedEngine struct {
-	world   *world
-	highest engineapi.Fence
-	obeyed  engineapi.Fence
+	world        *world
+	highest      engineapi.Fence
+	lastAccepted engineapi.Fence
 }
 
-// giveOrder lets every node that believes that it leads give an order.
-func (w *world) giveOrder() {
+// issueOrders proposes an order at every node that has the leader role, current or not.
+func (w *world) issueOrders() {
 	for _, n := range w.nodes {
 		if !n.running() || n.core.Status().Role != "leader" {
 			continue
@@ -234,21 +233,21 @@
 	}
 }
 
-// deliverOrder sends an order, sometimes twice and late.
+// deliverOrder sends an order to the engine, sometimes with a late duplicate.
 func (w *world) deliverOrder(from string, fence engineapi.Fence) {
-	w.send(from, "engine", func() { w.engine.obey(fence) })
+	w.send(from, "engine", func() { w.engine.handleOrder(fence) })
 	if w.chance(0.3) {
-		w.queue.After(w.between(0, doubleDelivery), func() { w.engine.obey(fence) })
+		w.queue.After(w.between(0, maxDuplicateDelay), func() { w.engine.handleOrder(fence) })
 	}
 }
 
-func (e *fencedEngine) obey(fence engineapi.Fence) {
+func (e *fencedEngine) handleOrder(fence engineapi.Fence) {
 	if !e.highest.Less(fence) && e.world.config.Mutant != MutantNoFence {
 		return
 	}
-	if fence.Less(e.obeyed) {
-		e.world.checks.fail("the engine obeyed order %v after %v", fence, e.obeyed)
+	if fence.Less(e.lastAccepted) {
+		e.world.checks.fail("engine accepted order %v after %v", fence, e.lastAccepted)
 	}
 	e.world.report.Orders++
-	e.highest, e.obeyed = fence, fence
+	e.highest, e.lastAccepted = fence, fence
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// fault is something that goes wrong.
+// fault is one kind of injected fault. Faults are chosen with a probability proportional to
+// weight.
 type fault struct {
 	name   string
 	weight int
@@ -10,20 +11,20 @@
 }
 
 var faults = []fault{
-	{"crash", 6, func(w *world) { w.anyNode().crash(w.between(50*time.Millisecond, 3*time.Second)) }},
+	{"crash", 6, func(w *world) { w.randomNode().crash(w.between(50*time.Millisecond, 3*time.Second)) }},
 	{"crash the leader", 4, func(w *world) {
 		if n := w.leader(); n != nil {
 			n.crash(w.between(50*time.Millisecond, 3*time.Second))
 		}
 	}},
-	{"kill at a write", 6, func(w *world) { w.anyNode().writes = 1 + w.random.IntN(12) }},
-	{"freeze", 3, func(w *world) { w.anyNode().freeze(w.between(300*time.Millisecond, 5*time.Second)) }},
+	{"kill at a write", 6, func(w *world) { w.randomNode().writesUntilKill = 1 + w.random.IntN(12) }},
+	{"freeze", 3, func(w *world) { w.randomNode().freeze(w.between(300*time.Millisecond, 5*time.Second)) }},
 	{"freeze the leader", 4, func(w *world) {
 		if n := w.leader(); n != nil {
 			n.freeze(w.between(300*time.Millisecond, 5*time.Second))
 		}
 	}},
-	{"suspend a machine", 3, func(w *world) { w.anyNode().suspend(w.between(300*time.Millisecond, 8*time.Second)) }},
+	{"suspend a machine", 3, func(w *world) { w.randomNode().suspend(w.between(300*time.Millisecond, 8*time.Second)) }},
 	{"suspend the leader", 3, func(w *world) {
 		if n := w.leader(); n != nil {
 			n.suspend(w.between(300*time.Millisecond, 8*time.Second))
@@ -34,10 +35,10 @@
 	}},
 	{"cut off the leader", 5, func(w *world) {
 		if n := w.leader(); n != nil {
-			w.cut(w.between(time.Second, 10*time.Second), append(w.someRouters(), n.name)...)
+			w.cut(w.between(time.Second, 10*time.Second), append(w.randomRouters(), n.name)...)
 		}
 	}},
-	{"cut off routers", 4, func(w *world) { w.cut(w.between(time.Second, 12*time.Second), w.someRouters()...) }},
+	{"cut off routers", 4, func(w *world) { w.cut(w.between(time.Second, 12*time.Second), w.randomRouters()...) }},
 	{"cut off control", 4, func(w *world) {
 		var names []string
 		for _, r := range w.routers {
@@ -46,13 +47,13 @@
 		w.cut(w.between(3*time.Second, 10*time.Second), names...)
 	}},
 	{"lossy network", 4, func(w *world) {
-		w.loss, w.double = 0.3*w.random.Float64(), 0.3*w.random.Float64()
-		w.queue.After(w.between(time.Second, 5*time.Second), func() { w.loss, w.double = 0, 0 })
+		w.lossRate, w.duplicateRate = 0.3*w.random.Float64(), 0.3*w.random.Float64()
+		w.queue.After(w.between(time.Second, 5*time.Second), func() { w.lossRate, w.duplicateRate = 0, 0 })
 	}},
 	{"restart routers", 4, func(w *world) {
 		for _, r := range w.routers {
 			if w.chance(0.5) {
-				r.bounce(w.between(50*time.Millisecond, 4*time.Second))
+				r.restartAfter(w.between(50*time.Millisecond, 4*time.Second))
 			}
 		}
 	}},
@@ -64,15 +65,15 @@
 	{"lose a disk", 2, (*world).loseDisk},
 	{"hand over", 2, func(w *world) {
 		if n := w.leader(); n != nil {
-			n.receive(func() { _ = n.core.TransferLeadership(w.anyNode().id) })
+			n.receive(func() { _ = n.core.TransferLeadership(w.randomNode().id) })
 		}
 	}},
 }
 
 func (w *world) count(name string) { w.report.Faults[name]++ }
 
-// scheduleFaults lets faults come at random times, one by one, together and
-// twice over, and heals everything at the end.
+// scheduleFaults injects faults at random, possibly overlapping times, and ends network and
+// disk faults when the fault period is over.
 func (w *world) scheduleFaults() {
 	total := 0
 	for _, f := range faults {
@@ -98,29 +99,29 @@
 }
 
 func (w *world) heal() {
-	clear(w.islands)
-	w.loss, w.double = 0, 0
+	clear(w.partitions)
+	w.lossRate, w.duplicateRate = 0, 0
 	for _, n := range w.nodes {
-		n.writes = 0
+		n.writesUntilKill = 0
 	}
 }
 
-// cut puts the named places on an island of their own for a time.
+// cut moves the named nodes and routers into a network partition of their own for a time.
 func (w *world) cut(length time.Duration, names ...string) {
-	island := int(w.queue.Planned()) + 1
+	partition := int(w.queue.Planned()) + 1
 	for _, name := range names {
-		w.islands[name] = island
+		w.partitions[name] = partition
 	}
 	w.queue.After(length, func() {
 		for _, name := range names {
-			if w.islands[name] == island {
-				delete(w.islands, name)
+			if w.partitions[name] == partition {
+				delete(w.partitions, name)
 			}
 		}
 	})
 }
 
-func (w *world) someRouters() []string {
+func (w *world) randomRouters() []string {
 	var names []string
 	for _, r := range w.routers {
 		if w.chance(0.4) {
@@ -130,7 +131,7 @@
 	return names
 }
 
-func (r *router) bounce(pause time.Duration) {
+func (r *router) restartAfter(pause time.Duration) {
 	if r.down {
 		return
 	}
@@ -138,9 +139,8 @@
 	r.world.queue.After(pause, r.start)
 }
 
-// loseDisk loses a machine for good, unless another one is lost already and not
-// yet replaced: then a majority would be gone, which no group survives. A
-// second machine is lost right after the first was replaced.
+// loseDisk removes a node permanently. It does nothing while an earlier loss is not yet
+// repaired, since the group would lose its majority.
 func (w *world) loseDisk() {
 	leader := w.leader()
 	if leader == nil {
--- a/internal/simulation/linearizability_test.go
+++ b/internal/simulation/linearizability_test.go
@@ -13,18 +13,18 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// claimState is the model of one key, as in spec/claims.pml.
+// claimState is the sequential model of one key, as in spec/claims.pml.
 type claimState struct {
 	owner    string
 	finished bool
-	voids    string // names between commas
+	voids    string // attempt names, each enclosed in commas
 }
 
 func (s claimState) void(attempt string) bool { return strings.Contains(s.voids, ","+attempt+",") }
 
-// step returns the state after an operation and the answer it gives.
+// step returns the state after an operation and the operation's result.
 func (s claimState) step(op state.ClaimOperation) (claimState, state.ClaimState) {
-	mine := s.owner == op.Attempt
+	isOwner := s.owner == op.Attempt
 	switch op.Kind {
 	case state.ClaimAcquire:
 		switch {
@@ -35,39 +35,38 @@
 			return s, state.ClaimGranted
 		case s.finished:
 			return s, state.ClaimFinished
-		case mine:
+		case isOwner:
 			return s, state.ClaimGranted
 		}
 		return s, state.ClaimRunning
 	case state.ClaimFinish:
-		if !mine {
+		if !isOwner {
 			return s, state.ClaimVoid
 		}
 		s.finished = true
 		return s, state.ClaimFinished
 	}
-	if mine && s.finished {
+	if isOwner && s.finished {
 		return s, state.ClaimFinished
 	}
-	if mine {
+	if isOwner {
 		s.owner = ""
 	}
 	if !s.void(op.Attempt) {
-		s.voids = sortedWith(s.voids, op.Attempt)
+		s.voids = withVoid(s.voids, op.Attempt)
 	}
 	return s, state.ClaimVoid
 }
 
-// sortedWith adds an attempt to the list. In whichever order attempts became void, the
-// state is the same: the checker tells states apart by comparing them, and went through
-// all orders of calls without an answer.
-func sortedWith(voids, attempt string) string {
+// withVoid adds an attempt to a sorted list of void attempts. The order keeps equal sets equal
+// as strings, which lets the checker recognize states that it has already visited.
+func withVoid(voids, attempt string) string {
 	all := append(strings.FieldsFunc(voids, func(r rune) bool { return r == ',' }), attempt)
 	slices.Sort(all)
 	return "," + strings.Join(all, ",,") + ","
 }
 
-// unknownAnswer stands for a call without an answer.
+// unknownAnswer is the output of a call without a response.
 const unknownAnswer = state.ClaimState("")
 
 var claimModel = porcupine.Model{
@@ -93,9 +92,8 @@
 
 const historySeeds = 10
 
-// history runs a seed and returns its calls. Calls without an answer may take
-// effect at any later time, or never: those that may not have been done are
-// given an end after all others.
+// history runs a simulation and returns its claim calls. A call without a response gets the
+// latest possible return time, since it may take effect at any later time.
 func history(t *testing.T, config Config) []porcupine.Operation {
 	t.Helper()
 	var out []porcupine.Operation
@@ -124,9 +122,9 @@
 	}
 }
 
-// TestTheLinearizabilityCheckCanFail shows a history that it refuses: a key
-// granted to two attempts.
-func TestTheLinearizabilityCheckCanFail(t *testing.T) {
+// TestLinearizabilityCheckRejectsDoubleGrant checks a history in which one key is granted to
+// two attempts.
+func TestLinearizabilityCheckRejectsDoubleGrant(t *testing.T) {
 	granted := func(attempt string, call int64) porcupine.Operation {
 		return porcupine.Operation{ClientId: int(call), Call: call, Return: call + 1, Output: state.ClaimGranted,
 			Input: state.ClaimOperation{Kind: state.ClaimAcquire, Key: "k", Attempt: attempt}}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -18,20 +18,20 @@
 	"quinceridge.example/quinceridge/internal/storage"
 )
 
-// Times of the simulated group, in the proportions of the product's defaults.
+// Timeouts of the simulated group, in the same proportions as the defaults.
 const (
 	heartbeat       = 100 * time.Millisecond
 	electionTimeout = time.Second
 	leaderLease     = 800 * time.Millisecond
 	routerLease     = 3 * time.Second
 	snapshotEvery   = 40
-	// mostDrift is how much faster or slower than true time a clock may go.
-	mostDrift = 0.04
+	// maxDrift is the maximum relative error of a clock's rate.
+	maxDrift = 0.04
 )
 
 var errKilled = errors.New("killed at a write")
 
-// node is one control machine.
+// node is a control node with its disk and clock.
 type node struct {
 	world  *world
 	id     uint64
@@ -44,26 +44,27 @@
 	down   bool
 	lost   bool
 	frozen bool
-	// slept is for how long the node's clock has stood still.
-	slept time.Duration
-	// queued are messages that came while the node was frozen.
+	// suspendedFor is the total time for which the node's clock was stopped.
+	suspendedFor time.Duration
+	// queued holds the messages that arrived while the node was frozen.
 	queued []func()
-	// checked is the applied entry that was checked last.
-	checked uint64
-	// writes counts down to a kill in the middle of a write; 0 means none.
-	writes int
+	// lastChecked is the applied index at the last check.
+	lastChecked uint64
+	// writesUntilKill is the number of writes until one fails and kills the node, or 0 for no
+	// failure.
+	writesUntilKill int
 }
 
 func newNode(w *world, id uint64, join bool) *node {
 	n := &node{world: w, id: id, name: fmt.Sprintf("control-%d", id), disk: vfs.NewCrashableMem(), join: join,
-		drift: 1 + (w.random.Float64()*2-1)*mostDrift, origin: w.between(0, time.Hour)}
+		drift: 1 + (w.random.Float64()*2-1)*maxDrift, origin: w.between(0, time.Hour)}
 	n.open()
 	return n
 }
 
-// clock is the clock that the node's process reads.
+// clock returns the time that the node's process reads, with its own origin and drift.
 func (n *node) clock() time.Duration {
-	return n.origin + time.Duration(float64(n.world.now()-n.slept)*n.drift)
+	return n.origin + time.Duration(float64(n.world.now()-n.suspendedFor)*n.drift)
 }
 
 func (n *node) config() control.CoreConfig {
@@ -89,21 +90,21 @@
 		return
 	}
 	if err != nil {
-		// A mutant's disk may be found damaged; that is a catch too.
+		// A mutant can corrupt the disk, which counts as a detected fault.
 		n.world.checks.fail("%s cannot start: %v", n.name, err)
 		return
 	}
 	n.core = core
 }
 
-// faultyDisk fails a write when the countdown ends.
+// faultyDisk returns the node's disk, with a write error when writesUntilKill reaches 0.
 func (n *node) faultyDisk() vfs.FS {
 	return errorfs.Wrap(n.disk, errorfs.InjectorFunc(func(op errorfs.Op) error {
-		if n.writes == 0 || op.Kind.ReadOrWrite() != errorfs.OpIsWrite {
+		if n.writesUntilKill == 0 || op.Kind.ReadOrWrite() != errorfs.OpIsWrite {
 			return nil
 		}
-		n.writes--
-		if n.writes == 0 {
+		n.writesUntilKill--
+		if n.writesUntilKill == 0 {
 			return errKilled
 		}
 		return nil
@@ -120,7 +121,7 @@
 	n.pump()
 }
 
-// receive runs something on the node, now or after it thaws.
+// receive runs work on the node, or queues it while the node is frozen.
 func (n *node) receive(work func()) {
 	switch {
 	case n.frozen && !n.down:
@@ -145,8 +146,8 @@
 		n.crash(n.world.between(50*time.Millisecond, 2*time.Second))
 		return
 	}
-	if applied := n.core.Machine().Applied(); applied != n.checked {
-		n.checked = applied
+	if applied := n.core.Machine().Applied(); applied != n.lastChecked {
+		n.lastChecked = applied
 		n.world.checks.applied(n)
 	}
 	for _, m := range messages {
@@ -165,12 +166,12 @@
 	return nil
 }
 
-// crash ends the node. What was not synced may be lost.
+// crash stops the node and restarts it after a pause. Unsynced data may be lost.
 func (n *node) crash(pause time.Duration) {
 	if n.down || n.lost {
 		return
 	}
-	n.down, n.frozen, n.queued, n.core, n.writes = true, false, nil, nil, 0
+	n.down, n.frozen, n.queued, n.core, n.writesUntilKill = true, false, nil, nil, 0
 	n.disk = n.crashedDisk()
 	if n.world.config.Mutant == MutantNoSync {
 		n.disk = vfs.NewCrashableMem()
@@ -178,11 +179,11 @@
 	n.world.queue.After(pause, n.restart)
 }
 
-// crashedDisk returns what is left of the disk: what was synced, and at times
-// more, with a torn end of the log.
+// crashedDisk returns the disk after a crash: the synced data and sometimes unsynced data, with
+// a torn log tail.
 //
-// The clone is always asked for all or nothing: for a part it would draw in the
-// order of a map, and equal seeds would not give equal runs.
+// The clone takes all or none of the unsynced data, since a partial clone iterates over a map
+// and would make runs nondeterministic.
 func (n *node) crashedDisk() *vfs.MemFS {
 	synced := n.disk.CrashClone(vfs.CrashCloneCfg{})
 	if n.world.chance(0.4) {
@@ -198,7 +199,7 @@
 	case n.world.chance(0.5):
 		tail = tail[:cut]
 	default:
-		clear(tail[cut/2 : cut]) // a block that was not written back
+		clear(tail[cut/2 : cut]) // a block that wasn't written back
 	}
 	writeAll(all, logPath, append(kept, tail...))
 	return all
@@ -255,25 +256,25 @@
 	})
 }
 
-// suspend stops the node's whole machine, its steady clock too.
+// suspend freezes the node as a suspended machine does. With clocksStopInSuspend, its clock
+// stops too.
 func (n *node) suspend(length time.Duration) {
 	if !n.running() {
 		return
 	}
 	core := n.core
 	n.world.queue.After(length, func() {
-		if n.frozen && n.core == core && n.world.steadyClocks() {
-			n.slept += length
+		if n.frozen && n.core == core && n.world.clocksStopInSuspend() {
+			n.suspendedFor += length
 		}
 	})
 	n.freeze(length)
 }
 
-// steadyClocks tells whether processes read a clock that stands still while their
-// machine is suspended.
-func (w *world) steadyClocks() bool { return w.config.Mutant == MutantSteadyClock }
+// clocksStopInSuspend reports whether clocks stop while their machine is suspended.
+func (w *world) clocksStopInSuspend() bool { return w.config.Mutant == MutantSteadyClock }
 
-// leader returns the node that holds the lease, if any.
+// leader returns the node that holds the leader lease, or nil.
 func (w *world) leader() *node {
 	for _, n := range w.nodes {
 		if n.running() && n.core.HoldsLease(n.clock()) {
@@ -283,8 +284,8 @@
 	return nil
 }
 
-// submit sends a command to a node and gives the answer to done, unless it is
-// lost. Appended is called when the node has put it into its log.
+// submit sends a command to a node and passes the result to done, unless a message is lost. It
+// calls appended when the node has appended the command to its log.
 func (w *world) submit(from string, to *node, command state.Command, appended func(), done func(state.Result, error)) {
 	w.send(from, to.name, func() {
 		to.receive(func() {
@@ -301,17 +302,17 @@
 	})
 }
 
-// wallClock jumps back and forth, as wall clocks may.
+// wallClock returns a wall time in milliseconds that jumps by up to 10 seconds in both
+// directions.
 func (w *world) wallClock() int64 {
 	jump := w.random.Int64N(20_000) - 10_000
 	return 1_800_000_000_000 + w.now().Milliseconds() + jump
 }
 
-// anyNode returns a node to talk to.
-func (w *world) anyNode() *node { return w.nodes[w.random.IntN(len(w.nodes))] }
+func (w *world) randomNode() *node { return w.nodes[w.random.IntN(len(w.nodes))] }
 
-// replaceLost does what an operator does for a machine whose disk is gone: add
-// a new one as a learner, promote it, remove the old one.
+// replaceLost replaces a node that lost its disk, as an operator does: it adds a learner,
+// promotes it and removes the old member.
 func (w *world) replaceLost() {
 	leader := w.leader()
 	if leader == nil {
@@ -340,7 +341,7 @@
 		}
 		w.nextID++
 		w.nodes = append(w.nodes, newNode(w, w.nextID, true))
-		w.islands[w.nodes[len(w.nodes)-1].name] = w.islands[leader.name]
+		w.partitions[w.nodes[len(w.nodes)-1].name] = w.partitions[leader.name]
 		w.report.Replaced++
 	case members.IsLearner(newest.id):
 		change(raft.Promote, newest.id)
@@ -350,7 +351,7 @@
 	return true
 }
 
-// controlCall is a router's call of a control node.
+// controlCall sends a router's lease request to a control node and passes the reply to done.
 func (w *world) controlCall(from string, to *node, request controlapi.LeaseRequest, done func(controlapi.LeaseReply)) {
 	w.send(from, to.name, func() {
 		to.receive(func() {
--- a/internal/simulation/report.go
+++ b/internal/simulation/report.go
@@ -7,29 +7,30 @@
 	"time"
 )
 
-// Report counts what a run went through.
+// Report holds the counts of one run or of several.
 type Report struct {
-	// Faults counts faults by name.
+	// Faults counts injected faults by name.
 	Faults map[string]int
-	// Leaders counts terms that had a leader, Replaced the machines that took
-	// the place of lost ones.
+	// Leaders is the number of terms with a leader, and Replaced the number of control nodes
+	// that replaced lost ones.
 	Leaders  int
 	Replaced int
-	// Accepted is the highest accepted version.
+	// Accepted is the highest accepted bundle version.
 	Accepted uint64
-	// Runs counts attempts that ran, NotRun those that were called not run.
+	// Runs is the number of attempts that ran, and NotRun the number that were answered "not
+	// run".
 	Runs   int
 	NotRun int
-	// Orders counts orders that the engine obeyed.
+	// Orders is the number of orders that the engine accepted.
 	Orders int
 	Events uint64
-	// LeadTime is how long a leader held its lease, HeldTime how long routers
-	// served without control, summed over routers.
+	// LeadTime is the time during which a node held the leader lease. HeldTime is the time
+	// during which routers served without control nodes, summed over routers.
 	LeadTime time.Duration
 	HeldTime time.Duration
 }
 
-// Add adds another run's counts.
+// Add adds the counts of another run.
 func (r *Report) Add(other Report) {
 	for name, count := range other.Faults {
 		r.Faults[name] += count
@@ -45,7 +46,7 @@
 	r.HeldTime += other.HeldTime
 }
 
-// String returns the counts for people.
+// String formats the counts for the command line.
 func (r *Report) String() string {
 	var names []string
 	for name := range r.Faults {
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -12,7 +12,7 @@
 
 const routerHeartbeat = 500 * time.Millisecond
 
-// router is one router with its agent.
+// router is a router's agent with its disk and clock.
 type router struct {
 	world  *world
 	self   state.Router
@@ -21,25 +21,25 @@
 	drift  float64
 	origin time.Duration
 	down   bool
-	// asleep says that its machine is suspended, and slept for how long its clock has
-	// stood still.
-	asleep bool
-	slept  time.Duration
-	life   int // counts starts, so that answers to an earlier life are dropped
-	// target is the control node that answered last.
+	// suspended is set while the router's machine is suspended; suspendedFor is the total time
+	// for which its clock was stopped.
+	suspended    bool
+	suspendedFor time.Duration
+	incarnation  int // counts starts; replies to an earlier incarnation are dropped
+	// target is the index of the control node for the next lease request.
 	target int
 }
 
 func newRouter(w *world, number int) *router {
 	r := &router{world: w, self: state.Router{Name: fmt.Sprintf("router-%d", number+1)},
-		drift: 1 + (w.random.Float64()*2-1)*mostDrift, origin: w.between(0, time.Hour)}
+		drift: 1 + (w.random.Float64()*2-1)*maxDrift, origin: w.between(0, time.Hour)}
 	r.start()
-	w.every(routerHeartbeat, r.beat)
+	w.every(routerHeartbeat, r.sendHeartbeat)
 	return r
 }
 
 func (r *router) clock() time.Duration {
-	return r.origin + time.Duration(float64(r.world.now()-r.slept)*r.drift)
+	return r.origin + time.Duration(float64(r.world.now()-r.suspendedFor)*r.drift)
 }
 
 func (r *router) start() {
@@ -52,31 +52,31 @@
 	}
 	r.agent = agent.New(r.self, durable, r.clock())
 	r.down = false
-	r.life++
+	r.incarnation++
 }
 
 func (r *router) stop() { r.down = true }
 
-// suspend stops the router's whole machine, its steady clock too. What reaches it
-// meanwhile is lost.
+// suspend suspends the router's machine for a time. Messages that arrive meanwhile are lost.
+// With clocksStopInSuspend, its clock stops too.
 func (r *router) suspend(length time.Duration) {
-	if r.silent() {
+	if r.unavailable() {
 		return
 	}
-	r.asleep = true
+	r.suspended = true
 	r.world.queue.After(length, func() {
-		r.asleep = false
-		if r.world.steadyClocks() {
-			r.slept += length
+		r.suspended = false
+		if r.world.clocksStopInSuspend() {
+			r.suspendedFor += length
 		}
 	})
 }
 
-// silent tells whether the router does nothing now.
-func (r *router) silent() bool { return r.down || r.asleep }
+// unavailable reports whether the router is stopped or suspended.
+func (r *router) unavailable() bool { return r.down || r.suspended }
 
-// save makes the agent's state durable, as the router process does before
-// anything leaves.
+// save persists the agent's state. As in the router process, it precedes any message that
+// depends on the state.
 func (r *router) save() {
 	if !r.agent.Dirty() {
 		return
@@ -88,12 +88,12 @@
 	}
 	r.disk = data
 	r.agent.Saved()
-	r.world.checks.inForce(r)
+	r.world.checks.checkInForce(r)
 }
 
-// mode is by what right the router serves.
+// mode returns the mode in which the router serves, or ModeNone if it does not.
 func (r *router) mode() agent.Mode {
-	if r.silent() {
+	if r.unavailable() {
 		return agent.ModeNone
 	}
 	if r.world.config.Mutant == MutantNoLease && r.agent.InForce() != nil {
@@ -102,13 +102,13 @@
 	return r.agent.Mode(r.clock())
 }
 
-func (r *router) beat() {
-	if r.silent() {
+func (r *router) sendHeartbeat() {
+	if r.unavailable() {
 		return
 	}
 	r.renew()
 	if r.agent.WantsHold(r.clock()) {
-		r.askPeers()
+		r.requestHold()
 	}
 }
 
@@ -116,11 +116,11 @@
 	w := r.world
 	r.target = (r.target + len(w.nodes)) % len(w.nodes)
 	to := w.nodes[r.target]
-	sent, life := r.clock(), r.life
+	sent, incarnation := r.clock(), r.incarnation
 	request := r.agent.LeaseRequest()
 	answered := false
 	w.controlCall(r.self.Name, to, request, func(reply controlapi.LeaseReply) {
-		if r.silent() || r.life != life {
+		if r.unavailable() || r.incarnation != incarnation {
 			return
 		}
 		answered = true
@@ -128,31 +128,31 @@
 			r.target++
 			return
 		}
-		// An offer that cannot be applied is asked for again in whole.
+		// After an offer that can't be applied, the agent requests the full bundle.
 		_ = r.agent.HandleLease(sent, reply)
 		r.save()
 	})
-	w.queue.After(4*longestDelay, func() {
+	w.queue.After(4*maxDelay, func() {
 		if !answered {
 			r.target++
 		}
 	})
 }
 
-func (r *router) askPeers() {
+func (r *router) requestHold() {
 	w := r.world
-	sent, life := r.clock(), r.life
+	sent, incarnation := r.clock(), r.incarnation
 	for _, peer := range r.agent.Peers(sent) {
 		request := r.agent.HoldRequest(peer.Name)
 		other := w.router(peer.Name)
 		w.send(r.self.Name, peer.Name, func() {
-			if other.silent() {
+			if other.unavailable() {
 				return
 			}
 			reply := other.agent.HandleHoldRequest(other.clock(), request)
 			other.save()
 			w.send(peer.Name, r.self.Name, func() {
-				if r.silent() || r.life != life {
+				if r.unavailable() || r.incarnation != incarnation {
 					return
 				}
 				if w.config.Mutant == MutantNoAdopt {
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -8,17 +8,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// fixedSeeds is how many seeds CI runs.
+// fixedSeeds is the number of consecutive seeds, from 0, that the test runs.
 const fixedSeeds = 50
 
-// foundSeeds once failed, beyond the first fifty.
+// regressionSeeds lists further seeds that once failed.
 //
-//   - 297: routers joined while a bundle was accepted by the smaller registry;
-//     a majority of the larger one did not know of it and went on by the old.
-var foundSeeds = []uint64{297}
+//   - 297: routers joined while a smaller registry accepted a bundle; a majority of the larger
+//     registry missed it and kept serving the old one.
+var regressionSeeds = []uint64{297}
 
-func TestPromisesHoldUnderFaults(t *testing.T) {
-	seeds := slices.Clone(foundSeeds)
+func TestInvariantsHoldUnderFaults(t *testing.T) {
+	seeds := slices.Clone(regressionSeeds)
 	for seed := range uint64(fixedSeeds) {
 		seeds = append(seeds, seed)
 	}
@@ -33,10 +33,10 @@
 	}
 }
 
-// mutantSeeds bounds how many seeds a mutant may survive.
+// mutantSeeds is the number of seeds within which each mutant must be detected.
 const mutantSeeds = 40
 
-func TestChecksCatchEveryMutant(t *testing.T) {
+func TestChecksDetectEveryMutant(t *testing.T) {
 	for _, mutant := range Mutants() {
 		t.Run(string(mutant), func(t *testing.T) {
 			t.Parallel()
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestEqualSeedsGiveEqualRuns(t *testing.T) {
+func TestRunIsDeterministicForSeed(t *testing.T) {
 	first, err := Run(DefaultConfig(7))
 	assert.NilError(t, err)
 	second, err := Run(DefaultConfig(7))
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -1,8 +1,8 @@
-// Package simulation runs control nodes, routers and operators in virtual time
-// over a seeded network and seeded disks that fail, and checks after each event
-// that no promise is broken. The Core and the Agent are the product's own.
+// Package simulation runs control nodes, routers and operators in virtual time over a seeded
+// faulty network and seeded faulty disks, and checks invariants throughout the run. Package
+// control's Core and package agent's Agent run unmodified.
 //
-// A seed fixes everything: a failing seed fails again.
+// A run is deterministic: the same Config gives the same result.
 package simulation
 
 import (
@@ -13,136 +13,137 @@
 	"quinceridge.example/quinceridge/internal/virtualtime"
 )
 
-// Config says what a run is made of.
+// Config holds the parameters of a run.
 type Config struct {
 	Seed    uint64
 	Nodes   int
 	Routers int
-	// Faults is how long faults come; Settle is the calm after them, at whose
-	// end all must have converged.
+	// Faults is the period in which faults are injected. Settle is the fault-free period after
+	// it, at the end of which the system must have converged.
 	Faults time.Duration
 	Settle time.Duration
-	// Mutant removes one guard, to show that the checks can fail.
+	// Mutant disables one safeguard, to show that the checks detect its absence.
 	Mutant Mutant
-	// Record, unless nil, gets each call on a claim as its caller saw it.
+	// Record, unless nil, receives each claim call that reached a log, after the run.
 	Record func(ClaimCall)
 }
 
-// ClaimCall is one call on a claim.
+// ClaimCall is one operation on a claim, as its caller observed it.
 type ClaimCall struct {
 	Operation state.ClaimOperation
 	Start     time.Duration
-	// End is when the answer came; negative when none came, and the call may
-	// have been done or not.
+	// End is the time of the response. It is negative if there was none; the operation may then
+	// have taken effect or not.
 	End   time.Duration
 	State state.ClaimState
-	// appended says that some node put it into its log; otherwise it was
-	// surely not done.
+	// appended is set if some node appended the operation to its log. Otherwise the operation
+	// can't have taken effect.
 	appended bool
 }
 
-// Mutant names a removed guard.
+// Mutant names a disabled safeguard.
 type Mutant string
 
-// The mutants. Each must be caught by some seed.
+// The mutants. Each must be detected by some seed.
 const (
 	NoMutant Mutant = ""
-	// MutantNoSync loses what was synced when a node crashes.
+	// MutantNoSync discards synced data when a node crashes.
 	MutantNoSync Mutant = "no-sync"
-	// MutantNoLease lets routers serve without any right.
+	// MutantNoLease lets routers serve without a lease.
 	MutantNoLease Mutant = "no-lease"
-	// MutantNoAdopt lets routers without control go on by what they have.
+	// MutantNoAdopt keeps routers without control nodes from adopting newer bundles of their
+	// peers.
 	MutantNoAdopt Mutant = "no-adopt"
-	// MutantNoFence lets engines obey old orders.
+	// MutantNoFence lets engines accept orders with an old fence.
 	MutantNoFence Mutant = "no-fence"
-	// MutantNoVoid lets a released attempt run when its grant comes late.
+	// MutantNoVoid lets a released attempt run when its grant arrives late.
 	MutantNoVoid Mutant = "no-void"
-	// MutantSteadyClock lets processes read a clock that stands still while their
-	// machine is suspended.
+	// MutantSteadyClock gives processes a clock that stops while their machine is suspended.
 	MutantSteadyClock Mutant = "steady-clock"
 )
 
-// Mutants lists all mutants.
+// Mutants returns all mutants except NoMutant.
 func Mutants() []Mutant {
 	return []Mutant{MutantNoSync, MutantNoLease, MutantNoAdopt, MutantNoFence, MutantNoVoid, MutantSteadyClock}
 }
 
-// DefaultConfig is the size of a run in tests.
+// DefaultConfig returns the parameters of a run in tests.
 func DefaultConfig(seed uint64) Config {
 	return Config{Seed: seed, Nodes: 3, Routers: 5, Faults: 40 * time.Second, Settle: 15 * time.Second}
 }
 
-// Network delays.
+// Bounds of the network delay.
 const (
-	shortestDelay = time.Millisecond
-	longestDelay  = 40 * time.Millisecond
+	minDelay = time.Millisecond
+	maxDelay = 40 * time.Millisecond
 )
 
-// world is one run. Everything happens on one goroutine.
+// world is the state of one run. It is confined to one goroutine.
 type world struct {
-	config  Config
-	queue   virtualtime.Queue
-	random  *rand.Rand
-	islands map[string]int
-	// loss is the present share of lost messages, double that of doubled ones.
-	loss   float64
-	double float64
-
-	nodes   []*node
-	routers []*router
-	engine  *fencedEngine
-	operate *operators
-	claim   *claimers
-	checks  *checks
-	nextID  uint64
-	failure error
-	report  Report
+	config     Config
+	queue      virtualtime.Queue
+	random     *rand.Rand
+	partitions map[string]int
+	// lossRate and duplicateRate are the current probabilities that a message is lost or
+	// duplicated.
+	lossRate      float64
+	duplicateRate float64
+
+	nodes    []*node
+	routers  []*router
+	engine   *fencedEngine
+	operator *operators
+	claimer  *claimers
+	checks   *checks
+	nextID   uint64
+	failure  error
+	report   Report
 }
 
 func (w *world) now() time.Duration { return w.queue.Now() }
 
-// every runs something again and again, with a little jitter.
+// every calls run repeatedly, with the given interval plus jitter.
 func (w *world) every(interval time.Duration, run func()) {
-	var again func()
-	again = func() {
+	var tick func()
+	tick = func() {
 		run()
-		w.queue.After(interval+time.Duration(w.random.Int64N(int64(interval)/8+1)), again)
+		w.queue.After(interval+time.Duration(w.random.Int64N(int64(interval)/8+1)), tick)
 	}
-	w.queue.After(time.Duration(w.random.Int64N(int64(interval))), again)
+	w.queue.After(time.Duration(w.random.Int64N(int64(interval))), tick)
 }
 
-// send delivers a message between two places, unless the network loses it.
-// Delays are random, so messages overtake each other.
+// send delivers a message after a random delay, unless the network drops it. Messages may be
+// duplicated and reordered.
 func (w *world) send(from, to string, deliver func()) {
 	copies := 1
-	if w.random.Float64() < w.double {
+	if w.random.Float64() < w.duplicateRate {
 		copies = 2
 	}
 	for range copies {
-		if w.random.Float64() < w.loss {
+		if w.random.Float64() < w.lossRate {
 			continue
 		}
-		delay := shortestDelay + time.Duration(w.random.Int64N(int64(longestDelay-shortestDelay)))
+		delay := minDelay + time.Duration(w.random.Int64N(int64(maxDelay-minDelay)))
 		w.queue.After(delay, func() {
-			if w.islands[from] == w.islands[to] {
+			if w.partitions[from] == w.partitions[to] {
 				deliver()
 			}
 		})
 	}
 }
 
-// chance tells whether something of the given probability happens.
+// chance returns true with probability p.
 func (w *world) chance(p float64) bool { return w.random.Float64() < p }
 
-// between draws a duration.
+// between returns a random duration in [low, high).
 func (w *world) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int64N(int64(high-low)))
 }
 
-// Run makes one run and returns what it went through. An error says which
-// promise was broken, and when.
+// Run executes one run and returns its counts. The error describes the first violated
+// invariant, with the seed and the time.
 func Run(config Config) (Report, error) {
-	w := &world{config: config, random: rand.New(rand.NewPCG(config.Seed, 11)), islands: map[string]int{}}
+	w := &world{config: config, random: rand.New(rand.NewPCG(config.Seed, 11)), partitions: map[string]int{}}
 	w.report.Faults = map[string]int{}
 	w.checks = newChecks(w)
 	w.engine = &fencedEngine{world: w}
@@ -152,9 +153,9 @@
 		w.report.Events++
 	}
 	if w.failure == nil {
-		w.checks.converged()
+		w.checks.checkConverged()
 	}
-	w.claim.hand(config.Record)
+	w.claimer.replay(config.Record)
 	return w.report, w.failure
 }
 
@@ -166,11 +167,11 @@
 	for i := range w.config.Routers {
 		w.routers = append(w.routers, newRouter(w, i))
 	}
-	w.operate = newOperators(w)
-	w.claim = newClaimers(w)
+	w.operator = newOperators(w)
+	w.claimer = newClaimers(w)
 	w.every(20*time.Millisecond, w.tickNodes)
 	w.every(500*time.Millisecond, w.replaceLost)
-	w.every(700*time.Millisecond, w.giveOrder)
+	w.every(700*time.Millisecond, w.issueOrders)
 	w.scheduleFaults()
 }
 
@@ -178,5 +179,5 @@
 	for _, n := range w.nodes {
 		n.tick()
 	}
-	w.checks.always()
+	w.checks.checkInvariants()
 }
