--- a/internal/backends/attempt.go
+++ b/internal/backends/attempt.go
@@ -29,22 +29,22 @@
 	// trial marks a request that tests whether a back end has recovered from a pushback.
 	trial bool
 	// sent is the time at which the request was sent, and ahead the number of prompt tokens to
-	// process up to and including this request's. prefill is the estimator that learns from them;
+	// process up to and including this request's. prefill is the estimator that observes them;
 	// it is nil for back ends without models and after the first observation.
 	sent    time.Duration
 	ahead   int
 	prefill *speed.Estimator
-	// fetches says that the engine fetches cached parts from a store
-	// first, so that its wait is no sample of the prefill rate.
+	// fetches is set if the engine fetches cached parts from a store first, so that its wait
+	// is no sample of the prefill rate.
 	fetches bool
 }
 
-// ErrExpired is the cause of cancellation of an attempt whose
-// back end had not begun to answer when its weights expired.
+// ErrExpired is the cause of cancellation of an attempt whose back end had not begun to answer
+// when its weights expired.
 var ErrExpired = errors.New("the back end did not begin to answer before its weights expired")
 
-// Begin records that a request is sent to a chosen back end.
-// The pool calls cancel to abort the attempt.
+// Begin records that a request is sent to a chosen back end. The pool calls cancel to abort the
+// attempt.
 func (p *Pool) Begin(now time.Duration, choice *Choice, q *Query, cancel func(error)) *Attempt {
 	a := &Attempt{pool: p, poolName: q.Pool, backendID: choice.ID, work: choice.Work, model: q.Model, version: choice.Version, cancel: cancel, sent: now}
 	p.mu.Lock()
@@ -77,8 +77,8 @@
 	return a
 }
 
-// SetFetches marks that the engine fetches cached parts from a
-// store before it processes the prompt.
+// SetFetches marks that the engine fetches cached parts from a store before it processes the
+// prompt.
 func (a *Attempt) SetFetches() {
 	a.pool.mu.Lock()
 	defer a.pool.mu.Unlock()
@@ -109,7 +109,7 @@
 	return excess
 }
 
-// Begun records that the back end has begun to answer; ran says that it has processed the prompt.
+// Begun records that the back end has begun to answer; ran is set if it has processed the prompt.
 // It returns by how much the wait exceeds the expected one, or 0 if no wait is expected.
 func (a *Attempt) Begun(now time.Duration, ran bool) (excess time.Duration) {
 	a.pool.mu.Lock()
@@ -122,9 +122,9 @@
 	return excess
 }
 
-// FirstEventReported records in a central pool that a router has received
-// the first event, wait after the request was sent. It returns by how
-// much the wait exceeds the expected one, or 0 if no wait is expected.
+// FirstEventReported records in a central pool that a router has received the first event, wait
+// after the request was sent. It returns by how much the wait exceeds the expected one, or 0 if
+// no wait is expected.
 func (a *Attempt) FirstEventReported(now, wait time.Duration) (excess time.Duration) {
 	a.pool.mu.Lock()
 	defer a.pool.mu.Unlock()
--- a/internal/backends/choose.go
+++ b/internal/backends/choose.go
@@ -26,15 +26,14 @@
 	Key string
 	// Target is the latency target of the answer.
 	Target time.Duration
-	// GapTarget is the longest gap between two events of a stream
-	// that still meets the target; 0 means no limit.
+	// GapTarget is the longest gap between two events of a stream that still meets the target; 0
+	// means no limit.
 	GapTarget time.Duration
 	// Shared is the number of prompt tokens that other requests share.
 	Shared int
 	Work   Work
-	// UncachedTokens returns how many of the shared tokens a back end
-	// with this weights version must process because, as far as the pool
-	// can tell, no cache holds them. If it is nil, the number is 0.
+	// UncachedTokens returns how many of the shared tokens a back end with this weights version
+	// must process because no cache is recorded to hold them. If it is nil, the number is 0.
 	UncachedTokens func(version int) int
 	// Holder returns the ID of the engine that holds the cached shared part for this weights
 	// version, or "" if none is recorded. It may be nil.
@@ -45,18 +44,18 @@
 	IncludeLimited bool
 	// Parts are the shared parts of the prompt, in order.
 	Parts []coordapi.Part
-	// Store is the address of the store that keeps the shared
-	// parts, or empty; StoreTokens is its capacity in tokens.
+	// Store is the address of the store that keeps the shared parts, or empty; StoreTokens is its
+	// capacity in tokens.
 	Store       string
 	StoreTokens int
-	// Slots and Capacity are the request slots and the memory in
-	// tokens of one engine. Slots is 0 for pools without engines.
+	// Slots and Capacity are the request slots and the memory in tokens of one engine. Slots is 0
+	// for pools without engines.
 	Slots    int
 	Capacity int
 	// Routers is the number of routers that share the traffic about equally.
 	Routers int
-	// Patience is the longest time that the request may wait until
-	// an engine starts to process its prompt; 0 means no limit.
+	// Patience is the longest time that the request may wait until an engine starts to process its
+	// prompt; 0 means no limit.
 	Patience time.Duration
 	// Draw is a random number in [0, 1) that selects among the candidates.
 	Draw float64
@@ -68,8 +67,8 @@
 	// the request was charged before.
 	Tenant string
 	Amount quota.Amount
-	// uncached caches the results of UncachedTokens during a
-	// choice, since many candidates hold the same version.
+	// uncached caches the results of UncachedTokens during a choice, since many candidates hold the
+	// same version.
 	uncached map[int]int
 }
 
@@ -80,15 +79,15 @@
 	Instance string
 	Address  string
 	Zone     string
-	// Version is the weights version that the back end holds; Versioned says whether it is known.
+	// Version is the weights version that the back end holds; Versioned is set if it is known.
 	Version   int
 	Versioned bool
-	// Home says that the back end is first in the order of the query's key.
-	// HomeAddress is the address of the first one with the same weights
-	// version, or empty: caches are only valid for the weights that made them.
+	// Home is set if the back end is first in the order of the query's key. HomeAddress is the
+	// address of the first one with the same weights version, or empty: caches are only valid
+	// for the weights that made them.
 	Home        bool
 	HomeAddress string
-	// Source is the address from which to fetch shared parts, and Save says that the request is to
+	// Source is the address from which to fetch shared parts, and Save is set if the request is to
 	// save them to the store. The placer sets both.
 	Source string
 	Save   bool
@@ -104,17 +103,17 @@
 	// Wait the estimated time until it starts on these.
 	Ahead int
 	Wait  time.Duration
-	// Late says that no back end would start to process the prompt within the query's patience.
+	// Late is set if no back end would start to process the prompt within the query's patience.
 	Late bool
-	// OverLimit says that the request exceeds its tenant's limit and may be retried after Wait.
-	// Uncounted says that the placer did not charge it.
+	// OverLimit is set if the request exceeds its tenant's limit and may be retried after Wait.
+	// Uncounted is set if the placer did not charge it.
 	OverLimit bool
 	Uncounted bool
-	// Blocked lists the back ends that ended while they ran the
-	// request, if it is a blocked poison request.
+	// Blocked lists the back ends that crashed while they ran the request, if it is a blocked
+	// poison request.
 	Blocked []string
-	// Permit is the permit to send to a back end with a limit; nil if none is needed. Room is the
-	// time until a back end with a limit has capacity, if that is why none was found, else 0.
+	// Permit is the permit to send to a back end with a limit; nil if none is needed. RetryAfter is
+	// the time until a back end with a limit has capacity, if that is why none was found, else 0.
 	Permit     *ratelimit.Permit
 	RetryAfter time.Duration
 }
@@ -122,13 +121,13 @@
 // Name returns the instance name that the back end reports, which defaults to its ID.
 func (c *Choice) Name() string { return cmp.Or(c.Instance, c.ID) }
 
-// minSharedToOwn is the least ratio of the shared tokens of a
-// prompt to its own tokens at which its shared parts are saved.
+// minSharedToOwn is the least ratio of the shared tokens of a prompt to its own tokens at which
+// its shared parts are saved.
 const minSharedToOwn = 2
 
-// MaySave reports whether the request may save its shared parts. A
-// request with many tokens of its own leaves that to another one:
-// its own tokens would be saved too and evict parts that others use.
+// MaySave reports whether the request may save its shared parts. A request with many tokens of
+// its own leaves that to another one: its own tokens would be saved too and evict parts that
+// others use.
 func (q *Query) MaySave() bool { return q.Work.Prompt <= q.Shared/minSharedToOwn }
 
 // tokensToPrefill returns how many prompt tokens an engine with this weights version must process.
@@ -136,8 +135,8 @@
 	if q.UncachedTokens == nil {
 		return q.Work.Prompt
 	}
-	tokens, asked := q.uncached[version]
-	if !asked {
+	tokens, cached := q.uncached[version]
+	if !cached {
 		tokens = q.UncachedTokens(version)
 		q.uncached[version] = tokens
 	}
@@ -184,16 +183,15 @@
 	*row
 	// ahead is the number of prompt tokens that the back end has yet to process.
 	ahead int
-	// wait is the estimated time until the prompt is processed; it
-	// is set if the query has a patience.
+	// wait is the estimated time until the prompt is processed, set if the query has a patience.
 	wait time.Duration
-	// lastResort says that the back end is chosen only if no other is left.
+	// lastResort is set if the back end is chosen only if no other is left.
 	lastResort bool
 	// rank is the position in the order of the query's key, at most rankLimit.
 	rank int
 	cost float64
-	// represents is the number of equivalent back ends that the
-	// candidate stands for, including itself.
+	// represents is the number of equivalent back ends that the candidate stands for, including
+	// itself.
 	represents int
 }
 
@@ -239,9 +237,9 @@
 	return maps.Keys(p.index.pool(q.Pool).active)
 }
 
-// candidates returns the back ends that pass the filters and accept
-// requests. Back ends that are busy, send no heartbeat, recover from a
-// pushback or do not respond are returned only if there are no others.
+// candidates returns the back ends that pass the filters and accept requests. Back ends that are
+// busy, send no heartbeat, recover from a pushback or do not respond are returned only if there
+// are no others.
 func (p *Pool) candidates(now time.Duration, q *Query, rate speed.TokensPerMs) []candidate {
 	out := p.scratch[:0]
 	lastResort := 0
--- a/internal/backends/demand.go
+++ b/internal/backends/demand.go
@@ -9,8 +9,8 @@
 // demandWindow is the time constant of the average of prefill time.
 const demandWindow = 2 * time.Second
 
-// demand averages the prefill time of the requests sent to a
-// pool, with exponential decay. The zero value is ready to use.
+// demand averages the prefill time of the requests sent to a pool, with exponential decay. The
+// zero value is ready to use.
 type demand struct {
 	// prefill is in nanoseconds.
 	prefill decay.Sum
@@ -18,8 +18,8 @@
 	engines int
 }
 
-// PrefillShare returns the share of their time that the
-// engines of the busiest pool spend on prefill.
+// PrefillShare returns the share of their time that the engines of the busiest pool spend on
+// prefill.
 func (p *Pool) PrefillShare(now time.Duration) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/backends/filter.go
+++ b/internal/backends/filter.go
@@ -24,9 +24,9 @@
 	return version >= p.notes.Minimum[q.Model]
 }
 
-// Unavailable reports whether a request for a model must not be sent to a back end, no matter which node
-// chose it: the back end is draining, another instance answers at its address, the weights version
-// is below the minimum, or it has pushed back this process.
+// Unavailable reports whether a request for a model must not be sent to a back end, no matter
+// which node chose it: the back end is draining, another instance answers at its address, the
+// weights version is below the minimum, or it has pushed back this process.
 func (p *Pool) Unavailable(id, model string, version int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/backends/herd_test.go
+++ b/internal/backends/herd_test.go
@@ -74,8 +74,8 @@
 	return f
 }
 
-// exchangeLoads delivers the loads of the previous interval to
-// all routers and returns their current sums.
+// exchangeLoads delivers the loads of the previous interval to all routers and returns their
+// current sums.
 func (f *simulation) exchangeLoads(now time.Duration, previous []coordapi.Load) []coordapi.Load {
 	for _, p := range f.routers {
 		p.SetTotalLoads(now, previous, f.interval, true)
@@ -158,8 +158,8 @@
 	}
 }
 
-// Guards against routers that all send to the back end that
-// was least loaded in the same outdated report.
+// Guards against routers that all send to the back end that was least loaded in the same
+// outdated report.
 func TestChoicesDoNotHerd(t *testing.T) {
 	for _, routers := range []int{1, 10, 100, 300} {
 		t.Run(strconv.Itoa(routers), func(t *testing.T) {
--- a/internal/backends/index.go
+++ b/internal/backends/index.go
@@ -114,8 +114,8 @@
 	g.hashes = slices.Delete(g.hashes, at, at+1)
 }
 
-// isIdle reports whether an engine differs from the others of
-// its group only in its position in the order of a key.
+// isIdle reports whether an engine differs from the others of its group only in its position in
+// the order of a key.
 func (r *row) isIdle(now time.Duration) bool {
 	return r.IsEngine() && r.running == 0 && r.prefillTokens == 0 && r.unanswered == 0 && now >= r.busyUntil && r.rate(now) == 0 &&
 		!r.lastResort(now) && !r.recovering && now >= r.limitedUntil &&
@@ -123,8 +123,8 @@
 		r.otherLoad.Running == 0 && r.otherLoad.Memory == 0 && r.otherLoad.Prompt == 0
 }
 
-// first returns the first engines in the order of a key, given
-// its hash, leaving out the tried ones.
+// first returns the first engines in the order of a key, given its hash, leaving out the tried
+// ones.
 func (g *idleGroup) first(keyHash uint64, tried []string) []*row {
 	var found topRanked[*row]
 	for i, hash := range g.hashes {
--- a/internal/backends/index_test.go
+++ b/internal/backends/index_test.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// choose compares the choices of both pools, after a random
-// mutation at times, and begins the request.
+// choose compares the choices of both pools, after a random mutation at times, and begins the
+// request.
 func (w *poolPair) choose(t *testing.T, mutate func()) {
 	t.Helper()
 	w.now += time.Duration(w.random.IntN(40)) * time.Millisecond
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -21,11 +21,11 @@
 // row is the state of one back end.
 type row struct {
 	state.Backend
-	// noHeartbeat says that the coordinators receive no heartbeats from it.
+	// noHeartbeat is set if the coordinators receive no heartbeats from it.
 	noHeartbeat bool
-	// wrongInstance says that another instance answers at its address.
+	// wrongInstance is set if another instance answers at its address.
 	wrongInstance bool
-	// unlisted says that the coordinators do not list it for this router. The row remains for
+	// unlisted is set if the coordinators do not list it for this router. The row remains for
 	// requests that are still in flight there.
 	unlisted bool
 	// indexed and group are its location in the pool's index, or nil.
@@ -42,9 +42,9 @@
 	prefillStart  time.Duration
 	// attempts is the set of attempts there. It is not used in a central pool.
 	attempts map[*Attempt]struct{}
-	// unanswered is the number of requests without a first event. lastProgress
-	// is the time of the last reported first event or, if later, of sending
-	// the first of these requests. Both are used in a central pool only.
+	// unanswered is the number of requests without a first event. lastProgress is the time of the
+	// last reported first event or, if later, of sending the first of these requests. Both are used
+	// in a central pool only.
 	unanswered   int
 	lastProgress time.Duration
 	// hash is the hash of the address, see rank.
@@ -63,17 +63,17 @@
 	// pushedBackUntil is the end of the latest pushback of any router, in a central pool. Pushbacks
 	// of this process alone are in Pool.pushbacks.
 	pushedBackUntil time.Duration
-	// recovering says that it has pushed back and begun no request since. trials is the number of
+	// recovering is set if it has pushed back and begun no request since. trials is the number of
 	// requests sent to it meanwhile that have not begun.
 	recovering bool
 	trials     int
 }
 
-// Pool holds the back ends of all pools. It is safe for
-// concurrent use. Lock order: mu, then that of pushbacks.
+// Pool holds the back ends of all pools. It is safe for concurrent use. Lock order: mu, then that
+// of pushbacks.
 type Pool struct {
 	zone string
-	// central says that the pool chooses for all routers and receives first events with a mean
+	// central is set if the pool chooses for all routers and receives first events with a mean
 	// delay of reportDelay. Engines are assumed to process prompts at the estimated rate meanwhile.
 	central bool
 	// pushbacks holds the pushbacks of back ends against this process; nil means none.
@@ -119,8 +119,8 @@
 		flows: map[string]*flow{}, demands: map[string]*demand{}}
 }
 
-// SetPushbacks makes the pool skip back ends that have pushed
-// back this process. It must be called before the pool is used.
+// SetPushbacks makes the pool skip back ends that have pushed back this process. It must be
+// called before the pool is used.
 func (p *Pool) SetPushbacks(pushbacks *pushback.Registry) { p.pushbacks = pushbacks }
 
 // NewCentralPool returns an empty pool that chooses for all routers. It receives first events only
@@ -131,8 +131,8 @@
 	return p
 }
 
-// Apply updates rows and removes departed back ends. If whole is
-// set, it removes all rows that are not among the changed ones.
+// Apply updates rows and removes departed back ends. If whole is set, it removes all rows that
+// are not among the changed ones.
 func (p *Pool) Apply(changed []state.Backend, departed []string, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -193,8 +193,8 @@
 	return r
 }
 
-// ApplyNotes replaces the state that only the leader determines,
-// such as missing heartbeats and the oldest weights in use.
+// ApplyNotes replaces the state that only the leader determines, such as missing heartbeats and
+// the oldest weights in use.
 func (p *Pool) ApplyNotes(notes coordapi.Notes) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -237,8 +237,8 @@
 // age returns the age of the other routers' loads.
 func (p *Pool) age(now time.Duration) time.Duration { return now - p.loadsAt + p.loadsAge }
 
-// OwnLoads returns the load of this router's requests in flight.
-// The next call of SetTotalLoads subtracts it from the totals.
+// OwnLoads returns the load of this router's requests in flight. The next call of SetTotalLoads
+// subtracts it from the totals.
 func (p *Pool) OwnLoads() []coordapi.Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -252,8 +252,8 @@
 	return out
 }
 
-// Refused returns and resets the number of requests that no
-// engine could start within their patience.
+// Refused returns and resets the number of requests that no engine could start within their
+// patience.
 func (p *Pool) Refused() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/backends/pool_test.go
+++ b/internal/backends/pool_test.go
@@ -239,15 +239,15 @@
 func TestUncachedTokensIsCalledOncePerVersion(t *testing.T) {
 	p := newTestPool(engine("w", 1), engine("x", 1), engine("y", 2), engine("z", 2))
 	q := query()
-	asked := map[int]int{}
+	calls := map[int]int{}
 	q.UncachedTokens = func(version int) int {
-		asked[version]++
-		return 100 * version * asked[version]
+		calls[version]++
+		return 100 * version * calls[version]
 	}
 	for round := 1; round <= 2; round++ {
 		choice, found := p.Choose(0, &q)
 		assert.Assert(t, found)
-		assert.DeepEqual(t, asked, map[int]int{1: round, 2: round})
+		assert.DeepEqual(t, calls, map[int]int{1: round, 2: round})
 		assert.Equal(t, choice.Work.Prompt, 1000+100*choice.Version*round)
 	}
 }
--- a/internal/backends/preferred.go
+++ b/internal/backends/preferred.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// preferredLoad is the greatest multiple of their share of the
-// requests that engines with the preferred weights get.
+// preferredLoad is the greatest multiple of their share of the requests that engines with the
+// preferred weights get.
 const preferredLoad = 2
 
 // preferred returns the version below which engines cost more for this query, or 0. While few
--- a/internal/backends/prefill.go
+++ b/internal/backends/prefill.go
@@ -16,8 +16,8 @@
 	return max(r.prefillTokens-rate.Tokens(max(elapsed, 0)), 0)
 }
 
-// Rate is the prefill rate of the engines of a pool.
-// RelativeError is its standard error as a fraction of the rate.
+// Rate is the prefill rate of the engines of a pool. RelativeError is its standard error as a
+// fraction of the rate.
 type Rate struct {
 	Speed         speed.TokensPerMs
 	RelativeError float64
@@ -38,13 +38,13 @@
 	// maxFetchFactor bounds the delay of a fetch from a store, as a multiple of the time that
 	// prefill of the same tokens takes: repeated prefill is lost work.
 	maxFetchFactor = 2
-	// fetchTargetDivisor is the divisor of the request's target
-	// that yields the delay a fetch may take in any case.
+	// fetchTargetDivisor is the divisor of the request's target that yields the delay a fetch may
+	// take in any case.
 	fetchTargetDivisor = 4
 )
 
-// MaxFetchDelay returns the longest acceptable delay of
-// fetching the shared parts of a prompt from a store.
+// MaxFetchDelay returns the longest acceptable delay of fetching the shared parts of a prompt
+// from a store.
 func (p *Pool) MaxFetchDelay(q *Query) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/backends/pushback.go
+++ b/internal/backends/pushback.go
@@ -46,8 +46,8 @@
 	})
 }
 
-// lastResort reports whether a back end is to be chosen only
-// if there is no other, because of a pushback.
+// lastResort reports whether a back end is to be chosen only if there is no other, because of a
+// pushback.
 func (r *row) lastResort(now time.Duration) bool {
 	return now < r.pushedBackUntil || (r.recovering && r.trials > 0)
 }
--- a/internal/backends/pushback_test.go
+++ b/internal/backends/pushback_test.go
@@ -30,8 +30,8 @@
 	return choice.ID, p.Begin(now, &choice, &q, func(error) {})
 }
 
-// An engine that pushes back one router is offered to other
-// routers only if no other engine is left.
+// An engine that pushes back one router is offered to other routers only if no other engine is
+// left.
 func TestPushedBackEngineIsLastChoiceForOtherRouters(t *testing.T) {
 	p := newCentralTestPool(3)
 	troubles := []coordapi.Trouble{{ID: "e01", Kind: coordapi.Busy, For: 3 * time.Second}}
--- a/internal/backends/scorer.go
+++ b/internal/backends/scorer.go
@@ -13,8 +13,8 @@
 
 // Costs in milliseconds.
 const (
-	// noHeartbeatCost and failureCost keep requests off back ends
-	// that may have failed, as long as there are others.
+	// noHeartbeatCost and failureCost keep requests off back ends that may have failed, as long as
+	// there are others.
 	noHeartbeatCost = 4000
 	failureCost     = 3000
 	// otherZoneCost is the cost of a back end in another zone.
@@ -32,8 +32,8 @@
 	decodeCost = 1.5
 	// overloadCost is the cost of a back end whose memory or slots are exhausted.
 	overloadCost = 400
-	// outdatedShare is the cost of weights older than the
-	// preferred version, as a fraction of the request's target.
+	// outdatedShare is the cost of weights older than the preferred version, as a fraction of the
+	// request's target.
 	outdatedShare = 0.25
 	// freeMemoryShare is the fraction of an engine's memory that requests may take at no cost. The
 	// rest is left to cached prompts.
@@ -89,8 +89,8 @@
 	return running * float64(typicalDuration.Milliseconds()) / float64(max(c.Slots, 1))
 }
 
-// overload returns by how much the request would exceed an
-// engine's memory and slots, or 0 while there is room.
+// overload returns by how much the request would exceed an engine's memory and slots, or 0 while
+// there is room.
 func overload(q *Query, c *candidate) float64 {
 	over := 0.0
 	if q.Capacity > 0 {
--- a/internal/backends/spread.go
+++ b/internal/backends/spread.go
@@ -63,11 +63,11 @@
 	return loadStaleness{stillRunning: stillRunning, unseen: others * f.mean().Seconds() * (1 - stillRunning)}
 }
 
-// drawWaterFilling draws a candidate with a probability proportional to the gap
-// between its cost and the level to which the budget raises the lowest costs.
-// Routers that see the same outdated loads thus level out the costs instead of all
-// sending to the cheapest candidate. The budget is the cost of the unseen requests;
-// if it is 0, the draw is among the cheapest candidates. draw is uniform in [0, 1).
+// drawWaterFilling draws a candidate with a probability proportional to the gap between its cost
+// and the level to which the budget raises the lowest costs. Routers that see the same outdated
+// loads thus level out the costs instead of all sending to the cheapest candidate. The budget is
+// the cost of the unseen requests; if it is 0, the draw is among the cheapest candidates. draw
+// is uniform in [0, 1).
 func drawWaterFilling(candidates []candidate, budget, draw float64) *candidate {
 	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.ID, b.ID)) })
 	level, filled := waterLevel(candidates, budget)
--- a/internal/backends/unresponsive.go
+++ b/internal/backends/unresponsive.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// firstEventGrace is the time without a first event, beyond the
-	// expected prefill time, after which an engine with waiting requests
-	// counts as unresponsive. It exceeds the routers' report interval.
+	// firstEventGrace is the time without a first event, beyond the expected prefill time, after
+	// which an engine with waiting requests counts as unresponsive. It exceeds the routers' report
+	// interval.
 	firstEventGrace = time.Second
-	// minUnanswered is the least number of waiting requests: a
-	// single one may be delayed for other reasons.
+	// minUnanswered is the least number of waiting requests: a single one may be delayed for other
+	// reasons.
 	minUnanswered = 3
 )
 
@@ -40,8 +40,8 @@
 	return p.central && r.unanswered >= minUnanswered && now-r.lastProgress > firstEventGrace+rate.Wait(p.remainingPrefill(r.lastProgress, r, rate))
 }
 
-// UnresponsiveEngines returns the number of engines that no
-// longer answer, according to the routers' reports.
+// UnresponsiveEngines returns the number of engines that no longer answer, according to the
+// routers' reports.
 func (p *Pool) UnresponsiveEngines(now time.Duration) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/coordapi/coordapi.go
+++ b/internal/coordapi/coordapi.go
@@ -66,7 +66,7 @@
 	Limits *LimitsInForce `json:"limits,omitempty"`
 }
 
-// Find asks whether the node is the leader, and otherwise for the leader's address.
+// Find requests the leader's address, unless the node itself is the leader.
 type Find struct{}
 
 // Watch requests the changes since a revision. The leader replies when there are some, or after
@@ -216,7 +216,7 @@
 type Load struct {
 	ID string `json:"id"`
 	// Running is the number of requests, Memory their maximum memory and Prompt the prompt
-	// tokens not read yet, both in tokens.
+	// tokens not processed yet, both in tokens.
 	Running int `json:"r,omitempty"`
 	Memory  int `json:"m,omitempty"`
 	Prompt  int `json:"p,omitempty"`
--- a/internal/coordapi/limit.go
+++ b/internal/coordapi/limit.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// LimitReport is what a response revealed about the rate limit that a back end applies to all
-// machines together.
+// LimitReport reports the rate limit, if any, that a response of a back end named. The limit
+// applies to all machines together.
 type LimitReport struct {
 	ID   BackendID `json:"id"`
 	Pool string    `json:"pool,omitempty"`
--- a/internal/coordapi/placement.go
+++ b/internal/coordapi/placement.go
@@ -19,7 +19,7 @@
 	// Key identifies the shared part of the prompt; empty for none.
 	Key string `json:"key,omitempty"`
 	// Target is the target latency of the answer, and Patience the longest time that the request
-	// may wait until an engine starts to read its prompt; 0 for no limit.
+	// may wait until an engine starts to process its prompt; 0 for no limit.
 	Target   time.Duration `json:"target,omitempty"`
 	Patience time.Duration `json:"patience,omitempty"`
 	// GapTarget is the target for the longest pause within the stream; 0 for none.
@@ -87,15 +87,15 @@
 	// eligible engines.
 	Cost       float64 `json:"cost,omitempty"`
 	Considered int     `json:"considered,omitempty"`
-	// Prompt is the number of prompt tokens that the engine must read, Ahead the number queued
-	// before them, and Wait the estimated time to read the latter.
+	// Prompt is the number of prompt tokens that the engine must process, Ahead the number
+	// queued before them, and Wait the estimated time to process the latter.
 	Prompt int           `json:"prompt,omitempty"`
 	Ahead  int           `json:"ahead,omitempty"`
 	Wait   time.Duration `json:"wait,omitempty"`
-	// Late reports that no engine would start to read within the patience. Nothing is placed
-	// then.
+	// Late is set if no engine would start to process the prompt within the patience. Nothing
+	// is placed then.
 	Late bool `json:"late,omitempty"`
-	// OverLimit reports that the request exceeds its tenant's limit and may be sent again after
+	// OverLimit is set if the request exceeds its tenant's limit and may be sent again after
 	// Wait. Nothing is placed then.
 	OverLimit bool `json:"over_limit,omitempty"`
 	// Blocked lists the back ends that failed while they ran the request, if it is blocked.
@@ -107,7 +107,7 @@
 	// RetryAfter is the time until there is capacity for the request, if no engine is available
 	// because of their rate limits.
 	RetryAfter time.Duration `json:"room,omitempty"`
-	// Uncounted reports that the leader could not count the request against its tenant's limit,
+	// Uncounted is set if the leader could not count the request against its tenant's limit,
 	// so that the router must.
 	Uncounted bool `json:"uncounted,omitempty"`
 }
@@ -120,7 +120,7 @@
 	Ended []uint64 `json:"ended,omitempty"`
 	// Troubles are problems with engines that attempts revealed.
 	Troubles []Trouble `json:"troubles,omitempty"`
-	// Spent is what the router admitted from tenants' limits without the leader.
+	// Spent lists the amounts that the router admitted from tenants' limits without the leader.
 	Spent []quota.Spent `json:"spent,omitempty"`
 	// Limits are the rate limits that back ends reported, and Unused the numbers of placements
 	// and claims whose permits were not used.
--- a/internal/coordinator/backendlimits_test.go
+++ b/internal/coordinator/backendlimits_test.go
@@ -42,8 +42,8 @@
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(20*time.Millisecond))
 }
 
-// All routers share one permit, which placements at the engine use as well. All routers learn of
-// the limit from the leader, and a new leader learns of it from them.
+// All routers share one permit, which placements at the engine use as well. All routers receive
+// the limit from the leader, and a new leader receives it from them.
 func TestBackendLimitIsSharedByRouters(t *testing.T) {
 	g := newGroup(t, 3)
 	g.call(0, beat("x", 1, false))
@@ -95,7 +95,7 @@
 	defer g.engines.mu.Unlock()
 	assert.Assert(t, len(g.engines.calls) > 0)
 	for _, call := range g.engines.calls {
-		assert.Assert(t, call.permit, "sent without a right after %v", call.at.Sub(begun))
+		assert.Assert(t, call.permit, "sent without a permit after %v", call.at.Sub(begun))
 	}
 	length := time.Since(begun).Seconds()
 	assert.Assert(t, float64(len(g.engines.calls)) <= 1.4*length+3, "%d calls in %.1f s", len(g.engines.calls), length)
--- a/internal/coordinator/blocking.go
+++ b/internal/coordinator/blocking.go
@@ -22,17 +22,17 @@
 )
 
 // blocker decides on the leader which poison requests are blocked. Blocks are replicated; the
-// evidence is not, and routers report it again to a new leader. Methods that say so are safe for
-// concurrent use; everything else belongs to the run goroutine.
+// evidence is not, and routers report it again to a new leader. Methods are safe for
+// concurrent use only if documented so; everything else belongs to the run goroutine.
 type blocker struct {
 	logger    *slog.Logger
 	heartbeat time.Duration
 
 	mu sync.Mutex
-	// ledger is nil unless this node leads. dirty is set when evidence arrived after the last
+	// detector is nil unless this node leads. dirty is set when evidence arrived after the last
 	// evaluation.
-	ledger *poison.Detector
-	dirty  bool
+	detector *poison.Detector
+	dirty    bool
 	// blocked maps requests that are blocked, or proposed to be, to the back ends that crashed
 	// while running them.
 	blocked map[poison.Digest][]string
@@ -55,10 +55,10 @@
 func (b *blocker) reset(leads bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.ledger, b.dirty, b.suspects, b.revision = nil, false, nil, 0
+	b.detector, b.dirty, b.suspects, b.revision = nil, false, nil, 0
 	b.blocked, b.proposed = map[poison.Digest][]string{}, map[poison.Digest]time.Duration{}
 	if leads {
-		b.ledger = poison.NewDetector(b.heartbeat)
+		b.detector = poison.NewDetector(b.heartbeat)
 	}
 }
 
@@ -69,17 +69,17 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.ledger == nil {
+	if b.detector == nil {
 		return
 	}
 	b.dirty = true
 	for _, e := range reports.FailedAttempts {
-		b.ledger.Record(now, e)
+		b.detector.Record(now, e)
 		b.logger.Info("back end failed during an attempt", "part", "blocking", "request", e.Request.String(), "backend", e.Backend, "router", router,
 			"age_ms", e.Age.Milliseconds(), "lasted_ms", e.Duration.Milliseconds(), "down", e.Down, "silent", e.Silent)
 	}
 	for _, d := range reports.Answered {
-		b.ledger.MarkHarmless(now, d)
+		b.detector.MarkHarmless(now, d)
 		b.logger.Info("suspected request was answered", "part", "blocking", "request", d.String(), "router", router)
 	}
 }
@@ -115,8 +115,8 @@
 	}
 	b.blockedSince = blockedSince
 	for _, c := range d.Cleared {
-		if c.Revision > b.revision && b.ledger != nil {
-			b.ledger.MarkHarmless(now, c.Request)
+		if c.Revision > b.revision && b.detector != nil {
+			b.detector.MarkHarmless(now, c.Request)
 			b.dirty = true
 		}
 	}
@@ -127,11 +127,11 @@
 func (b *blocker) evaluate(now time.Duration, signs func(string) poison.Liveness) (verdicts []poison.Verdict, changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.ledger == nil || (!b.dirty && now < b.evaluatedAt+evaluateInterval) {
+	if b.detector == nil || (!b.dirty && now < b.evaluatedAt+evaluateInterval) {
 		return nil, false
 	}
 	b.dirty, b.evaluatedAt = false, now
-	verdicts, suspects := b.ledger.Evaluate(now, signs, b.pending(now))
+	verdicts, suspects := b.detector.Evaluate(now, signs, b.pending(now))
 	for _, v := range verdicts {
 		b.blocked[v.Request] = v.Backends
 		b.proposed[v.Request] = now
@@ -153,7 +153,7 @@
 	}
 }
 
-// expired returns the requests whose block has lasted for poison.BlockTime.
+// expired returns the requests whose block has lasted for poison.BlockDuration.
 func (b *blocker) expired(now time.Duration) []poison.Digest {
 	var out []poison.Digest
 	for request, at := range b.blockedSince {
@@ -193,7 +193,7 @@
 func (s *Server) signs(d *state.Deployment) func(string) poison.Liveness {
 	return func(id string) poison.Liveness {
 		signs := poison.Liveness{LastHeartbeat: poison.NoHeartbeat}
-		if last, heard := s.soft.heartbeats[id]; heard {
+		if last, found := s.soft.heartbeats[id]; found {
 			signs.LastHeartbeat = last.at
 		}
 		row, known := d.Backends[id]
--- a/internal/coordinator/blocking_test.go
+++ b/internal/coordinator/blocking_test.go
@@ -18,11 +18,11 @@
 
 // crashReport returns a report that back ends crashed while running a request.
 func crashReport(request poison.Digest, age time.Duration, backends ...string) coordapi.Request {
-	tell := &coordapi.Update{Router: "r"}
+	update := &coordapi.Update{Router: "r"}
 	for _, id := range backends {
-		tell.FailedAttempts = append(tell.FailedAttempts, poison.FailedAttempt{Backend: id, Request: request, Down: true, Age: age, Duration: 50 * time.Millisecond})
+		update.FailedAttempts = append(update.FailedAttempts, poison.FailedAttempt{Backend: id, Request: request, Down: true, Age: age, Duration: 50 * time.Millisecond})
 	}
-	return coordapi.Request{Update: tell}
+	return coordapi.Request{Update: update}
 }
 
 // blocked returns whether the leader's view contains a request as blocked.
--- a/internal/coordinator/broadcast.go
+++ b/internal/coordinator/broadcast.go
@@ -113,7 +113,7 @@
 	return changed, urgent
 }
 
-// delta is what changed since a revision, or everything if that is 0: plain back ends, and the
+// delta holds the changes since a revision, or everything if that is 0: plain back ends, and the
 // engines of each shard.
 type delta struct {
 	plain  changes
@@ -121,14 +121,14 @@
 }
 
 // changes are changed rows and the IDs of removed ones. packed caches the packed rows that
-// concern a shard, and whole a packed coordapi.Whole.
+// concern a shard, and whole a packed coordapi.FullView.
 type changes struct {
 	rows          []state.Backend
-	gone          []string
+	departed      []string
 	packed, whole []byte
 }
 
-func (c *changes) empty() bool { return len(c.rows)+len(c.gone) == 0 }
+func (c *changes) empty() bool { return len(c.rows)+len(c.departed) == 0 }
 
 // changesFor returns the changes to which a back end belongs.
 func (n *delta) changesFor(engine bool, id string) *changes {
@@ -144,14 +144,14 @@
 		return known
 	}
 	news := &delta{shards: make([]changes, t.shards())}
-	rows, gone := d.ChangedSince(revision)
+	rows, departed := d.ChangedSince(revision)
 	for _, b := range rows {
 		c := news.changesFor(b.IsEngine(), b.ID)
 		c.rows = append(c.rows, b)
 	}
-	for _, departure := range gone {
+	for _, departure := range departed {
 		c := news.changesFor(departure.Engine, departure.ID)
-		c.gone = append(c.gone, departure.ID)
+		c.departed = append(c.departed, departure.ID)
 	}
 	t.deltas[revision] = news
 	return news
@@ -166,7 +166,7 @@
 func (t *broadcast) fillChanges(v *coordapi.View, d *state.Deployment, since uint64) {
 	news := t.since(d, since)
 	mine := &news.shards[v.Shard.Index]
-	v.Departed = slices.Concat(news.plain.gone, mine.gone)
+	v.Departed = slices.Concat(news.plain.departed, mine.departed)
 	if mine.packed != nil {
 		v.PackedBackends = mine.packed
 	} else if rows := news.rows(v.Shard.Index); len(rows) < minPackedRows {
--- a/internal/coordinator/drain_test.go
+++ b/internal/coordinator/drain_test.go
@@ -77,10 +77,10 @@
 
 // Guards against repeating calls to an engine that answered with Retry-After.
 func TestOrdersAndReportsObeyPushback(t *testing.T) {
-	var asked atomic.Int32
+	var requests atomic.Int32
 	names := vocabulary.Default()
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked.Add(1)
+		requests.Add(1)
 		w.Header().Set("Retry-After", "30")
 		w.Header().Set(names.Draining, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -96,9 +96,9 @@
 		_, err := engines.Report(t.Context(), to)
 		assert.Assert(t, err != nil)
 	}
-	assert.Equal(t, asked.Load(), int32(1))
+	assert.Equal(t, requests.Load(), int32(1))
 	// Another start at the same address has no pushback.
 	order.Backend = "y"
 	assert.Assert(t, engines.Load(t.Context(), order) != nil)
-	assert.Equal(t, asked.Load(), int32(2))
+	assert.Equal(t, requests.Load(), int32(2))
 }
--- a/internal/coordinator/find_test.go
+++ b/internal/coordinator/find_test.go
@@ -15,10 +15,10 @@
 	g := newGroup(t, 3)
 	old := g.leader()
 	g.kill(old)
-	asked := (old + 1) % 3
+	queried := (old + 1) % 3
 	calls := 0
 	for found := false; !found; calls++ {
-		reply, err := g.servers[asked].serve(context.Background(), coordapi.Request{Find: &coordapi.Find{}})
+		reply, err := g.servers[queried].serve(context.Background(), coordapi.Request{Find: &coordapi.Find{}})
 		assert.NilError(t, err)
 		found = !reply.NotLeader || (reply.Leader != "" && reply.Leader != g.config[old].PeerListen)
 		if reply.Leader == g.config[old].PeerListen {
--- a/internal/coordinator/limits.go
+++ b/internal/coordinator/limits.go
@@ -28,8 +28,8 @@
 	logger    *slog.Logger
 
 	mu sync.Mutex
-	// bank and retries are nil unless this node leads.
-	bank    *quota.Limiter
+	// limiter and retries are nil unless this node leads.
+	limiter *quota.Limiter
 	retries *quota.SharedRetries
 	// leasedUntil is the end of the lease at the last update.
 	leasedUntil time.Duration
@@ -49,9 +49,9 @@
 func (l *tenantLimits) reset(leads bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.bank, l.retries, l.leasedUntil, l.configurationRevision, l.shares = nil, nil, 0, 0, nil
+	l.limiter, l.retries, l.leasedUntil, l.configurationRevision, l.shares = nil, nil, 0, 0, nil
 	if leads {
-		l.bank, l.retries = quota.NewLimiter(l.tolerance), quota.NewSharedRetries()
+		l.limiter, l.retries = quota.NewLimiter(l.tolerance), quota.NewSharedRetries()
 	}
 }
 
@@ -62,7 +62,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leasedUntil = leasedUntil
-	if l.bank == nil || leasedUntil == 0 || d.ConfigurationRevision == l.configurationRevision {
+	if l.limiter == nil || leasedUntil == 0 || d.ConfigurationRevision == l.configurationRevision {
 		return
 	}
 	l.configurationRevision = d.ConfigurationRevision
@@ -77,7 +77,7 @@
 		return
 	}
 	set := table.TenantLimits()
-	l.bank.SetLimits(now, set)
+	l.limiter.SetLimits(now, set)
 	l.logger.Info("tenant limits set", "part", "limits", "version", table.Version, "tenants", len(set))
 }
 
@@ -90,10 +90,10 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.bank == nil || now >= l.leasedUntil {
+	if l.limiter == nil || now >= l.leasedUntil {
 		return 0, true, false
 	}
-	after, admitted = l.bank.Take(now, req.Tenant, req.Amount)
+	after, admitted = l.limiter.Take(now, req.Tenant, req.Amount)
 	return after, admitted, true
 }
 
@@ -115,11 +115,11 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.bank == nil {
+	if l.limiter == nil {
 		return
 	}
 	for _, s := range spent {
-		l.bank.Charge(now, s.Tenant, s.Amount)
+		l.limiter.Charge(now, s.Tenant, s.Amount)
 	}
 }
 
@@ -127,11 +127,11 @@
 func (l *tenantLimits) announce(now time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.bank == nil {
+	if l.limiter == nil {
 		return
 	}
 	before := len(l.shares)
-	l.shares = l.bank.Shares(now)
+	l.shares = l.limiter.Shares(now)
 	if len(l.shares) != before {
 		l.logger.Info("tenants over their limits", "part", "limits", "shares", l.shares)
 	}
@@ -141,11 +141,11 @@
 func (l *tenantLimits) list(now time.Duration) []coordapi.TenantLimit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.bank == nil {
+	if l.limiter == nil {
 		return nil
 	}
 	var out []coordapi.TenantLimit
-	for _, u := range l.bank.Usages(now) {
+	for _, u := range l.limiter.Usages(now) {
 		out = append(out, coordapi.TenantLimit{Name: u.Name, Rate: float64(u.Rate), Burst: float64(u.Burst), Asked: float64(u.Asked), Refused: float64(u.Refused)})
 	}
 	return out
--- a/internal/coordinator/orders.go
+++ b/internal/coordinator/orders.go
@@ -238,10 +238,10 @@
 // no requests at all.
 func (s *Server) acquirePermit(to *Target) bool {
 	s.backendLimits.Observe(s.now(), s.engines.Limits(false))
-	number, asked := s.permitNumber.Add(1), clock.Now()
+	number, requestedAt := s.permitNumber.Add(1), clock.Now()
 	verdict := s.backendLimits.Take(s.now(), ratelimit.Request{Router: s.settings.Name, Number: number, Backend: to.Backend,
 		Claimant: coordapi.Claimant{Urgency: orderUrgency}})
-	to.Permit = verdict.Permit(to.Backend, number, asked)
+	to.Permit = verdict.Permit(to.Backend, number, requestedAt)
 	return verdict.Allowed()
 }
 
--- a/internal/coordinator/place_test.go
+++ b/internal/coordinator/place_test.go
@@ -71,10 +71,10 @@
 }
 
 // downEngines fails every call as engines do that refuse connections.
-type downEngines struct{ asked chan string }
+type downEngines struct{ ordered chan string }
 
 func (d downEngines) Load(_ context.Context, o LoadOrder) error {
-	d.asked <- o.Instance
+	d.ordered <- o.Instance
 	return ErrUnreachable
 }
 
@@ -88,14 +88,14 @@
 
 // Guards against a crashed engine that holds a load slot until the load times out.
 func TestOrderToUnreachableEngineFailsAtOnce(t *testing.T) {
-	asked := make(chan string, 10)
+	ordered := make(chan string, 10)
 	g := newGroup(t, 1)
 	s := g.servers[g.leader()]
-	s.loop.Do(context.Background(), func(time.Duration) { s.engines = downEngines{asked} })
+	s.loop.Do(context.Background(), func(time.Duration) { s.engines = downEngines{ordered} })
 	g.call(0, beat("x", 1, false))
 	var term uint64
 	s.loop.Do(context.Background(), func(time.Duration) { term = s.core.Status().Term })
 	err := s.order(context.Background(), state.Backend{ID: "x", Address: "x"}, "m", 2, term)
 	assert.Assert(t, errors.Is(err, ErrUnreachable))
-	assert.Equal(t, len(asked), 1)
+	assert.Equal(t, len(ordered), 1)
 }
--- a/internal/coordinator/rejoin_test.go
+++ b/internal/coordinator/rejoin_test.go
@@ -91,8 +91,8 @@
 func TestDrainIsRememberedByNameAfterRemoval(t *testing.T) {
 	var soft softState
 	soft.reset(0)
-	gone := soft.checkAll(time.Minute, time.Second, map[string]state.Backend{
+	departed := soft.checkAll(time.Minute, time.Second, map[string]state.Backend{
 		"x~~1": {ID: "x~~1", Instance: "x", Address: "x", Draining: true}, "y~~1": {ID: "y~~1", Instance: "y", Address: "y"}})
-	assert.Equal(t, len(gone), 2)
+	assert.Equal(t, len(departed), 2)
 	assert.Assert(t, soft.left["x"] && !soft.left["y"])
 }
--- a/internal/coordinator/rollout.go
+++ b/internal/coordinator/rollout.go
@@ -51,11 +51,11 @@
 	orderLeaseSlack = 400 * time.Millisecond
 )
 
-// rollout tracks the named versions of weights. Every node does so, so that a new leader knows
-// when each version was named.
+// rollout tracks the named versions of weights. Every node does so, so that a new leader has
+// the time at which each version was named.
 type rollout struct {
 	firstSeen map[state.WeightsVersion]time.Duration
-	// notes is what routers receive about versions.
+	// notes are the notes on versions that are sent to routers.
 	notes coordapi.Notes
 	// meanLoadTime is the moving average of load times, 0 before the first.
 	meanLoadTime time.Duration
--- a/internal/coordinator/routerreports.go
+++ b/internal/coordinator/routerreports.go
@@ -28,7 +28,7 @@
 	routerLoadTimeout = 1500 * time.Millisecond
 )
 
-// routerReports is what routers reported to the leader: the prompt parts that they saved, in
+// routerReports holds the reports of routers to the leader: the prompt parts that they saved, in
 // order, and their loads. Announcements pass it on to the watchers.
 type routerReports struct {
 	// firstPart is the number of the first of savedParts.
--- a/internal/coordinator/routerreports_test.go
+++ b/internal/coordinator/routerreports_test.go
@@ -72,19 +72,19 @@
 // Guards against sending the loads of all engines to all routers with each announcement.
 func TestEngineLoadsAreAnnouncedRarely(t *testing.T) {
 	var sums routerReports
-	tell := func(now time.Duration) {
+	update := func(now time.Duration) {
 		sums.record(now, &coordapi.Update{Router: "a", Loads: []coordapi.Load{{ID: "engine", Running: 1, Engine: true}, {ID: "plain", Running: 1}}})
 		assert.Assert(t, sums.announce(now, 1))
 	}
-	tell(time.Second)
+	update(time.Second)
 	first := sums.sumsSince(0, true)
 	assert.Assert(t, first.engines)
 	assert.Equal(t, len(first.loads), 2)
-	tell(2 * time.Second)
+	update(2 * time.Second)
 	assert.DeepEqual(t, sums.sumsSince(1, true).loads, []coordapi.Load{{ID: "plain", Running: 1}})
 	assert.Assert(t, sums.sumsSince(1, false).engines, "a watcher of another leader")
-	tell(time.Second + engineLoadsInterval)
-	tell(2*time.Second + engineLoadsInterval)
+	update(time.Second + engineLoadsInterval)
+	update(2*time.Second + engineLoadsInterval)
 	assert.Assert(t, sums.sumsSince(2, true).engines, "a watcher that missed the announcement with engines")
 	assert.Assert(t, !sums.sumsSince(3, true).engines)
 }
--- a/internal/coordinator/rowbatcher.go
+++ b/internal/coordinator/rowbatcher.go
@@ -101,7 +101,8 @@
 	}
 }
 
-// failPending calls all callbacks with control.ErrLost, when the leadership or the replica ends.
+// failPending calls all callbacks with control.ErrLeadershipChanged, when the leadership or
+// the replica ends.
 func (e *rowBatcher) failPending() {
 	queued := e.queued
 	e.queued, e.byID = nil, nil
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -140,7 +140,7 @@
 	}
 	if err := s.serveMetrics(); err != nil {
 		// The coordinator works without metrics.
-		s.logger.Error("metrics unavailable", "part", "coordinator", "error", err.Error())
+		s.logger.Error("metrics listener failed", "part", "coordinator", "error", err.Error())
 	}
 	clock.LogIfUnavailable(s.logger)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/coordinator/soft.go
+++ b/internal/coordinator/soft.go
@@ -119,11 +119,11 @@
 // forgetWatchers removes routers whose last watch is older than watcherTimeout.
 func (t *softState) forgetWatchers(now time.Duration) {
 	maps.DeleteFunc(t.routers, func(_ string, w watcher) bool {
-		gone := now-w.at >= watcherTimeout
-		if gone && w.borrows {
+		expired := now-w.at >= watcherTimeout
+		if expired && w.borrows {
 			t.borrowers--
 		}
-		return gone
+		return expired
 	})
 }
 
@@ -153,7 +153,7 @@
 
 // checkAll finds the back ends that are silent or superseded at their address, and returns those
 // whose rows are to be removed.
-func (t *softState) checkAll(now time.Duration, interval time.Duration, backends map[string]state.Backend) (gone []string) {
+func (t *softState) checkAll(now time.Duration, interval time.Duration, backends map[string]state.Backend) (departed []string) {
 	t.silenceCheckedAt = now
 	limit := silentLimit(interval)
 	var silent []string
@@ -164,7 +164,7 @@
 		holder, held := t.holders[b.Address]
 		switch {
 		case silentFor > departAfter || (b.Draining && silentFor > drainedDepartAfter):
-			gone = append(gone, id)
+			departed = append(departed, id)
 			t.left[id] = b.Draining
 			if b.Draining {
 				// It stays draining under any later row.
@@ -182,10 +182,10 @@
 		silent = append(silent, t.resolveHolder(now, limit, address, ids, backends)...)
 	}
 	slices.Sort(silent)
-	slices.Sort(gone)
+	slices.Sort(departed)
 	t.setSilent(silent)
 	t.forgetHolders(backends)
-	return gone
+	return departed
 }
 
 // resolveHolder sets the holder of an address and returns the back ends that it supersedes there,
@@ -375,9 +375,9 @@
 		if whole {
 			since = 0
 		}
-		rows, gone := d.ChangedSince(since)
-		departed := make([]string, len(gone))
-		for i, departure := range gone {
+		rows, departures := d.ChangedSince(since)
+		departed := make([]string, len(departures))
+		for i, departure := range departures {
 			departed[i] = departure.ID
 		}
 		s.backendLimits.Remove(departed)
@@ -415,14 +415,14 @@
 	s.soft.forgetWatchers(now)
 	before := s.soft.silent
 	s.soft.checkedRevision = d.BackendsRevision
-	gone := s.soft.checkAll(now, s.settings.BackendHeartbeat, d.Backends)
+	departed := s.soft.checkAll(now, s.settings.BackendHeartbeat, d.Backends)
 	s.soft.forgetStarts(d)
 	if !slices.Equal(before, s.soft.silent) {
 		s.recordSilent(before)
 	}
-	if len(gone) > 0 && s.core.HoldsLease(now) {
-		s.logger.Info("removing back ends", "part", "registry", "count", len(gone), "backends", truncateIDs(gone))
-		s.propose(now, "registry", state.Command{Depart: &state.Depart{IDs: gone}})
+	if len(departed) > 0 && s.core.HoldsLease(now) {
+		s.logger.Info("removing back ends", "part", "registry", "count", len(departed), "backends", truncateIDs(departed))
+		s.propose(now, "registry", state.Command{Depart: &state.Depart{IDs: departed}})
 	}
 }
 
--- a/internal/coordinator/starts.go
+++ b/internal/coordinator/starts.go
@@ -46,7 +46,7 @@
 // currentStart returns the start of a back end that sent the last heartbeat, or else that of its
 // committed row.
 func (s *Server) currentStart(d *state.Deployment, name string) (state.Start, bool) {
-	if start, heard := s.soft.starts[name]; heard {
+	if start, found := s.soft.starts[name]; found {
 		return start, true
 	}
 	row, known := d.Current(name)
--- a/internal/follower/claim.go
+++ b/internal/follower/claim.go
@@ -41,7 +41,7 @@
 	return nil, reply.Claimed.Wait, reply.Claimed.RetryAfter
 }
 
-// reachableLeader returns the leader that may be asked now, nil for none. A leader that did not
+// reachableLeader returns the leader that may be called now, nil for none. A leader that did not
 // answer is left out for a moment, since each request would wait for the timeout.
 func (f *Follower) reachableLeader() *string {
 	if int64(f.now()) < f.placements.backoffUntil.Load() {
--- a/internal/follower/evidence.go
+++ b/internal/follower/evidence.go
@@ -14,7 +14,7 @@
 	// unsureRetention is how long failed attempts whose back end still listened, or is not known
 	// to have crashed, are reported to a new leader. A leader that did not observe the back end
 	// then cannot determine whether it survived. All others are reported for
-	// poison.EvidenceTime.
+	// poison.EvidenceTTL.
 	unsureRetention = 30 * time.Second
 	// maxEvidence bounds the failed attempts kept. The oldest are dropped.
 	maxEvidence = 1024
@@ -28,7 +28,7 @@
 	// blocked and suspects are the latest from the coordinators.
 	blocked  atomic.Pointer[map[poison.Digest]state.BlockedRequest]
 	suspects atomic.Pointer[map[poison.Digest]struct{}]
-	// updateNow wakes RunReports.
+	// updateNow wakes Update.
 	updateNow chan struct{}
 
 	mu       sync.Mutex
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -25,7 +25,7 @@
 const (
 	// watchHold is how long the leader may hold a watch. Each reply renews the router's lease.
 	watchHold = 900 * time.Millisecond
-	// watchTimeout bounds a watch. After it another coordinator is asked.
+	// watchTimeout bounds a watch. After it another coordinator is tried.
 	watchTimeout = watchHold + 500*time.Millisecond
 	// findTimeout bounds the search for the leader at one coordinator, which may be down.
 	findTimeout = 250 * time.Millisecond
@@ -83,14 +83,14 @@
 }
 
 // Follower watches the coordinators. Its exported methods are safe for concurrent use, except
-// that Run and RunReports must each run once.
+// that Run and Update must each run once.
 type Follower struct {
 	config  Config
 	name    string
 	table   atomic.Pointer[traffic.Table]
 	routers atomic.Int64
-	// backends is the number of back ends that the last coordinator asked for the leader
-	// returned.
+	// backends is the number of back ends in the last reply of a coordinator to a request for the
+	// leader.
 	backends atomic.Int64
 	// leaseUntil is the end of the lease to serve, by the process's clock.
 	leaseUntil atomic.Int64
@@ -144,7 +144,7 @@
 	return f
 }
 
-// SetSeeds replaces the coordinators that are asked when no member is known.
+// SetSeeds replaces the coordinators that are tried when no member is known.
 func (f *Follower) SetSeeds(seeds []string) { f.seeds.Store(&seeds) }
 
 // Table returns the configuration in force, nil before the first.
@@ -173,7 +173,7 @@
 	}
 }
 
-// find asks a coordinator for the leader. It returns false when another one should be asked
+// find asks a coordinator for the leader. It returns false when another one should be tried
 // after a delay.
 func (f *Follower) find(ctx context.Context) bool {
 	address := f.candidate()
@@ -198,7 +198,7 @@
 	return preparation + preparationPerBackend*time.Duration(f.backends.Load())
 }
 
-// watch makes one call to the leader. It returns false when another coordinator should be asked
+// watch makes one call to the leader. It returns false when another coordinator should be tried
 // after a delay.
 func (f *Follower) watch(ctx context.Context) bool {
 	if f.leader == "" {
--- a/internal/follower/place.go
+++ b/internal/follower/place.go
@@ -19,7 +19,7 @@
 	// placeTimeout bounds a request to the leader that a caller waits for: a few round trips
 	// between zones. After it the router decides by itself.
 	placeTimeout = 60 * time.Millisecond
-	// placeBackoff is how long the leader is not asked after it did not answer.
+	// placeBackoff is the time without placement requests to a leader that did not answer.
 	placeBackoff = 250 * time.Millisecond
 )
 
@@ -29,7 +29,7 @@
 // placements is a router's side of the leader's placements. It is safe for concurrent use.
 type placements struct {
 	number atomic.Uint64
-	// backoffUntil is when the leader may be asked again, by the process's clock.
+	// backoffUntil is the time from which the leader may be called again, by the process's clock.
 	backoffUntil atomic.Int64
 	// standalone is set while the leader does not answer.
 	standalone atomic.Bool
--- a/internal/follower/pushback_test.go
+++ b/internal/follower/pushback_test.go
@@ -16,7 +16,7 @@
 )
 
 // followPushbacks returns a follower of a fake leader, without its watch, with one engine that
-// drains and one that asked for no requests for 30 s.
+// drains and one that sent a pushback of 30 s.
 func followPushbacks(t *testing.T, s *fakeLeader) *Follower {
 	names, logger := vocabulary.Default(), slog.New(slog.DiscardHandler)
 	f := New(Config{Name: "r", Seeds: []string{s.address}, Lease: time.Minute, Decode: decode, Pool: discardPool{}, Pushbacks: pushback.New(names, logger),
--- a/internal/forward/budget.go
+++ b/internal/forward/budget.go
@@ -34,8 +34,8 @@
 	draw    func() float64
 	mu      sync.Mutex
 	windows map[string]*window
-	// lastLent is when sharedBudget last replied; 0 for never.
-	lastLent time.Duration
+	// lastReplyAt is when sharedBudget last replied; 0 for never.
+	lastReplyAt time.Duration
 }
 
 // window counts requests and retries of a pool in a sliding window.
@@ -85,15 +85,15 @@
 	if b.spend(now, pool, 0) {
 		return true
 	}
-	if granted, lent := b.borrow(ctx, now, pool); lent {
+	if granted, shared := b.borrow(ctx, now, pool); shared {
 		return granted
 	}
 	return b.SpendLocal(now, pool, routers)
 }
 
-// borrow asks for one retry of the shared burst. Lent is true if retries of the burst are or
+// borrow asks for one retry of the shared burst. Shared is true if retries of the burst are or
 // may be granted elsewhere: if there was a reply now or within the window.
-func (b *budget) borrow(ctx context.Context, now time.Duration, pool string) (granted, lent bool) {
+func (b *budget) borrow(ctx context.Context, now time.Duration, pool string) (granted, shared bool) {
 	if b.sharedBudget == nil {
 		return false, false
 	}
@@ -101,9 +101,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if answered {
-		b.lastLent = now
+		b.lastReplyAt = now
 	}
-	return granted, answered || (b.lastLent > 0 && now < b.lastLent+b.config.Window)
+	return granted, answered || (b.lastReplyAt > 0 && now < b.lastReplyAt+b.config.Window)
 }
 
 // SpendLocal spends one retry of this router's even part of the budget, if there is one.
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// A draw made anew per retry would let the total grow with the number of retries asked for.
+// A draw made anew per retry would let the total grow with the number of retries requested.
 func TestDrawIsConstant(t *testing.T) {
 	config := BudgetConfig{Ratio: 0.2, Burst: 1040, Window: 10 * time.Second}
 	budgets, _ := newBudgets(3000, 0, config)
@@ -63,7 +63,7 @@
 
 // sharedBudget grants retries as the leader does, unless it is down.
 type sharedBudget struct {
-	repeats *quota.SharedRetries
+	retries *quota.SharedRetries
 	now     time.Duration
 	down    bool
 }
@@ -72,7 +72,7 @@
 	if l.down {
 		return false, false
 	}
-	return l.repeats.Take(l.now, pool, burst, window, 1), true
+	return l.retries.Take(l.now, pool, burst, window, 1), true
 }
 
 // simulateCrash ends 400 requests of 40 out of 295 routers, which receive 900 requests a second
@@ -95,7 +95,7 @@
 	}
 	if l != nil {
 		l.now = 9 * time.Second
-		l.repeats.Take(l.now, "api", config.Burst, config.Window, 1)
+		l.retries.Take(l.now, "api", config.Burst, config.Window, 1)
 		l.now = 20 * time.Second
 	}
 	served := 0
@@ -110,15 +110,15 @@
 // With an even split, the burst of routers that observe no crash would stay unused.
 func TestSharedBurstServesRoutersThatObserveCrash(t *testing.T) {
 	even := simulateCrash(nil)
-	lent := simulateCrash(&sharedBudget{repeats: quota.NewSharedRetries()})
-	t.Logf("of 400: %d with an even part of the burst, %d with a lent one", even, lent)
-	assert.Assert(t, lent >= even+100)
+	shared := simulateCrash(&sharedBudget{retries: quota.NewSharedRetries()})
+	t.Logf("of 400: %d with an even part of the burst, %d with a shared one", even, shared)
+	assert.Assert(t, shared >= even+100)
 }
 
 // Without a leader, a router must not use its even part of a burst that the leader may have
 // granted to others.
 func TestEvenPartIsUnusedWhileGrantsAreInWindow(t *testing.T) {
-	l := &sharedBudget{repeats: quota.NewSharedRetries()}
+	l := &sharedBudget{retries: quota.NewSharedRetries()}
 	config := BudgetConfig{Burst: 100, Window: 10 * time.Second}
 	b := newBudget(config, l)
 	b.draw = func() float64 { return 0 }
--- a/internal/forward/choose.go
+++ b/internal/forward/choose.go
@@ -18,13 +18,13 @@
 	// end before it is refused.
 	waitDivisor = 5
 	// patienceDivisor divides the latency target to give the time that a request may wait for
-	// an engine to begin reading it. The lowest target among routes of equal or higher urgency
+	// an engine to begin processing it. The lowest target among routes of equal or higher urgency
 	// is used, so that more urgent requests are not refused first.
 	patienceDivisor = 2
 )
 
 // behindRetryAfter returns the Retry-After of a request that was refused because all engines
-// are behind: the time until the first engine has read half of the permitted backlog, plus
+// are behind: the time until the first engine has processed half of the permitted backlog, plus
 // jitter. It reserves no slot for the client, since a first request is worth more than a late
 // retry.
 func behindRetryAfter(choice *backends.Choice, q *backends.Query) time.Duration {
@@ -98,26 +98,26 @@
 		// Back ends whose next slot is reserved for others are left out of this choice only.
 		j.query.Tried, j.query.IncludeLimited = j.query.Tried[:tried], false
 	}()
-	var room time.Duration
+	var retryAfter time.Duration
 	for range maxClaims {
 		j.query.Draw = rand.Float64()
 		choice, found := h.config.Pool.Choose(h.now(), &j.query)
-		if !found && room == 0 && !j.query.IncludeLimited && h.config.Pool.RetryDelay(h.now(), &j.query) > 0 {
+		if !found && retryAfter == 0 && !j.query.IncludeLimited && h.config.Pool.RetryDelay(h.now(), &j.query) > 0 {
 			// All back ends are at their limits. The leader is asked all the same: it may have
 			// got permits back, and it assigns the delay.
 			j.query.IncludeLimited = true
 			choice, found = h.config.Pool.Choose(h.now(), &j.query)
 		}
 		if !found || choice.Late || !h.config.Limits.Limited(coordapi.BackendID(choice.ID)) {
-			choice.RetryAfter = room
+			choice.RetryAfter = retryAfter
 			return choice, found
 		}
-		right, wait, at := h.claim(ctx, j, choice)
-		if right != nil {
-			choice.Permit = right
+		permit, wait, delay := h.claim(ctx, j, choice)
+		if permit != nil {
+			choice.Permit = permit
 			return choice, true
 		}
-		room = at
+		retryAfter = delay
 		if j.query.IncludeLimited {
 			break
 		}
@@ -125,7 +125,7 @@
 			j.query.Tried = append(j.query.Tried, choice.ID)
 		}
 	}
-	return backends.Choice{RetryAfter: room}, false
+	return backends.Choice{RetryAfter: retryAfter}, false
 }
 
 // place asks the leader for an engine. Answered is false if the router must choose locally.
@@ -164,13 +164,13 @@
 
 // claim asks for a permit to send to a limited back end. A back end that grants none for a
 // while is left out of choices until then.
-func (h *Handler) claim(ctx context.Context, j *job, choice backends.Choice) (right *ratelimit.Permit, wait, room time.Duration) {
+func (h *Handler) claim(ctx context.Context, j *job, choice backends.Choice) (permit *ratelimit.Permit, wait, retryAfter time.Duration) {
 	if h.config.Claimer == nil {
 		return nil, busyRetryAfter, 0
 	}
-	right, wait, room = h.config.Claimer.Claim(ctx, &j.query, coordapi.BackendID(choice.ID))
+	permit, wait, retryAfter = h.config.Claimer.Claim(ctx, &j.query, coordapi.BackendID(choice.ID))
 	if wait > 0 {
 		h.config.Pool.SetLimited(h.now(), choice.ID, wait)
 	}
-	return right, wait, room
+	return permit, wait, retryAfter
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -286,7 +286,7 @@
 	_ = conn.Close()
 }
 
-// An engine that receives urgencies may evict less urgent prompts that it has read already.
+// An engine that receives urgencies may evict less urgent prompts that it has processed already.
 func TestUrgencyIsNotForwarded(t *testing.T) {
 	r := newRig(t)
 	r.source.table.TenantByKey("ka").Priority = 1
@@ -426,16 +426,16 @@
 
 func TestDisconnectedClientCancelsAttempt(t *testing.T) {
 	r := newRig(t)
-	gone := make(chan struct{})
+	disconnected := make(chan struct{})
 	r.add("app", "x", func(_ http.ResponseWriter, q *http.Request) {
 		<-q.Context().Done()
-		close(gone)
+		close(disconnected)
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	r.ask("GET", "/safe/1", func(q *http.Request) { *q = *q.WithContext(ctx) })
 	select {
-	case <-gone:
+	case <-disconnected:
 	case <-time.After(time.Second):
 		t.Fatal("the back end goes on")
 	}
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -65,10 +65,10 @@
 
 // Claimer grants permits to send to back ends with a limit.
 type Claimer interface {
-	// Claim asks for a permit to send a request to a back end. Without a permit, wait is the
-	// delay until the back end has one, or 0 if its next one is reserved for others; room is
-	// the delay after which the pool has one for this request, or 0 if that is not known.
-	Claim(ctx context.Context, q *backends.Query, id coordapi.BackendID) (right *ratelimit.Permit, wait, room time.Duration)
+	// Claim asks for a permit to send a request to a back end. Without a permit, wait is the delay
+	// until the back end has one, or 0 if its next one is reserved for others; retryAfter is the
+	// delay after which the pool has one for this request, or 0 if that is not known.
+	Claim(ctx context.Context, q *backends.Query, id coordapi.BackendID) (permit *ratelimit.Permit, wait, retryAfter time.Duration)
 }
 
 // SharedBudget grants retries of the burst that all routers share.
@@ -162,7 +162,8 @@
 	// parts are the IDs of the prompt's shared parts.
 	parts      []string
 	receivedAt time.Duration
-	// deadline is when the client or the route gives the request up, by the handler's clock.
+	// deadline is the time at which the request times out for the client or its route, by the
+	// handler's clock.
 	deadline time.Duration
 	// ran counts the attempts that ran or may have run.
 	ran int
--- a/internal/forward/prompts_test.go
+++ b/internal/forward/prompts_test.go
@@ -37,7 +37,7 @@
 	h := promptHandler()
 	home := backends.Choice{ID: "a", Version: 1, Versioned: true, Home: true, HomeAddress: "10.0.0.1:1"}
 	j := promptJob(t)
-	j.query.Shared = 4000 // read in 100 ms at the initial estimate
+	j.query.Shared = 4000 // processed in 100 ms at the initial estimate
 	ask := func() string {
 		h.setPromptHeaders(j, home)
 		return j.request.Header.Get(names.FetchFrom)
@@ -55,7 +55,7 @@
 	assert.Equal(t, ask(), storeAddress, "the delay has decayed")
 }
 
-// Guards against reading parts that the store holds when only the last part is missing there.
+// Guards against processing parts that the store holds when only the last part is missing there.
 func TestStoreWithFirstPartIsSource(t *testing.T) {
 	h := promptHandler()
 	away := backends.Choice{ID: "b", Version: 1, Versioned: true, HomeAddress: "10.0.0.1:1"}
--- a/internal/forward/pushback_test.go
+++ b/internal/forward/pushback_test.go
@@ -231,7 +231,7 @@
 	go func() { running <- r.ask("POST", "/chat/x", asModel) }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if !r.handler.config.Pushbacks.Status("leaves").Draining {
-			return poll.Continue("not heard")
+			return poll.Continue("drain not recorded")
 		}
 		return poll.Success()
 	}, poll.WithDelay(5*time.Millisecond))
--- a/internal/forward/ratelimit_test.go
+++ b/internal/forward/ratelimit_test.go
@@ -20,10 +20,10 @@
 
 // limiterClaimer grants permits as the leader does.
 type limiterClaimer struct {
-	bank   *ratelimit.Limiter
-	limits *ratelimit.Registry
-	number atomic.Uint64
-	asked  atomic.Int64
+	limiter *ratelimit.Limiter
+	limits  *ratelimit.Registry
+	number  atomic.Uint64
+	claims  atomic.Int64
 	// term is the lifetime of a permit.
 	term time.Duration
 }
@@ -31,27 +31,27 @@
 // limitedRig returns a rig with a limiterClaimer.
 func limitedRig(t *testing.T) (*rig, *limiterClaimer) {
 	r := newRig(t)
-	c := &limiterClaimer{bank: ratelimit.NewLimiter(slog.New(slog.DiscardHandler)), limits: r.handler.config.Limits, term: ratelimit.PermitTTL}
-	c.bank.SetLeading(true)
-	c.bank.SetLease(1 << 62)
+	c := &limiterClaimer{limiter: ratelimit.NewLimiter(slog.New(slog.DiscardHandler)), limits: r.handler.config.Limits, term: ratelimit.PermitTTL}
+	c.limiter.SetLeading(true)
+	c.limiter.SetLease(1 << 62)
 	r.handler.config.Claimer = c
 	return r, c
 }
 
 func (c *limiterClaimer) Claim(_ context.Context, q *backends.Query, id coordapi.BackendID) (*ratelimit.Permit, time.Duration, time.Duration) {
-	c.asked.Add(1)
+	c.claims.Add(1)
 	now := clock.Now()
-	c.bank.Observe(now, c.limits.TakeUnreported())
-	c.bank.Unused(now, "r", c.limits.Unused())
+	c.limiter.Observe(now, c.limits.TakeUnreported())
+	c.limiter.Unused(now, "r", c.limits.Unused())
 	number := c.number.Add(1)
-	verdict := c.bank.Take(now, ratelimit.Request{Router: "r", Number: number, Backend: id, Claimant: q.Claimant})
+	verdict := c.limiter.Take(now, ratelimit.Request{Router: "r", Number: number, Backend: id, Claimant: q.Claimant})
 	switch {
 	case verdict.Unlimited:
 		return ratelimit.Unlimited(id), 0, 0
 	case verdict.Granted:
 		return ratelimit.Granted(id, number, now, c.term), 0, 0
 	}
-	return nil, verdict.Wait, c.bank.RetryAfter(now, q.Pool)
+	return nil, verdict.Wait, c.limiter.RetryAfter(now, q.Pool)
 }
 
 // limit announces a rate in each response while one is set.
@@ -143,11 +143,11 @@
 	for range 3 {
 		r.ask("POST", "/unsafe/x", nil)
 	}
-	before := claimer.asked.Load()
+	before := claimer.claims.Load()
 	for range 5 {
 		assert.Equal(t, r.ask("POST", "/unsafe/x", nil).status, http.StatusOK)
 	}
-	assert.Equal(t, claimer.asked.Load(), before)
+	assert.Equal(t, claimer.claims.Load(), before)
 }
 
 // An expired permit withholds the request. That costs no attempt and no retry, and the permit
@@ -168,8 +168,8 @@
 		group.Go(func() { assert.Check(t, r.ask("GET", "/safe/x", nil).status == http.StatusOK) })
 	}
 	group.Wait()
-	granted, _, back := claimer.bank.Counts()
-	assert.Assert(t, granted > 0 && back > 0, "%d permits granted, %d released", granted, back)
+	granted, _, released := claimer.limiter.Counts()
+	assert.Assert(t, granted > 0 && released > 0, "%d permits granted, %d released", granted, released)
 }
 
 // Without a leader, nothing is sent to limited back ends: others serve, or the request is
@@ -202,7 +202,7 @@
 		assert.Equal(t, r.ask("POST", "/chat/x", asModel).status, http.StatusOK)
 	}
 	assert.Equal(t, r.ran("some"), 2, "the first, which announced the limit, and one with a permit")
-	assert.Assert(t, claimer.asked.Load() >= 1)
+	assert.Assert(t, claimer.claims.Load() >= 1)
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
 	assert.Equal(t, placer.ended, 10, "all placements are over")
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -15,7 +15,7 @@
 )
 
 // buildRequest fills the request to the back end and the query for the choice. The urgency is
-// not forwarded: a full engine would evict less urgent requests after reading their prompts.
+// not forwarded: a full engine would evict less urgent requests after processing their prompts.
 func (h *Handler) buildRequest(r *http.Request, j *job) {
 	names := &h.config.Headers
 	header := make(http.Header, len(r.Header)+8)
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -35,9 +35,9 @@
 	r := newRig(t)
 	hanging := make(chan struct{})
 	t.Cleanup(func() { close(hanging) })
-	var asked atomic.Int32
+	var requests atomic.Int32
 	firstHangs := func(w http.ResponseWriter, q *http.Request) {
-		if asked.Add(1) == 1 {
+		if requests.Add(1) == 1 {
 			<-hanging
 		}
 		good(w, q)
@@ -45,7 +45,7 @@
 	r.add("app", "a", firstHangs)
 	r.add("app", "b", firstHangs)
 	assert.Equal(t, r.ask("GET", "/safe/x", nil).status, http.StatusOK)
-	assert.Equal(t, asked.Load(), int32(2))
+	assert.Equal(t, requests.Load(), int32(2))
 }
 
 // events writes the events from first to last of a stream.
--- a/internal/forward/suspend_test.go
+++ b/internal/forward/suspend_test.go
@@ -50,11 +50,11 @@
 func TestOverdueRequestEndsAfterSuspension(t *testing.T) {
 	r := newRig(t)
 	slept := r.suspendable()
-	gone := make(chan struct{})
+	disconnected := make(chan struct{})
 	r.add("app", "slow", func(_ http.ResponseWriter, q *http.Request) {
 		slept.Add(int64(time.Minute))
 		<-q.Context().Done()
-		close(gone)
+		close(disconnected)
 	})
 	r.source.table.Route("h", "/unsafe/1").Timeout = 30 * time.Second
 	answered := make(chan int, 1)
@@ -69,5 +69,5 @@
 			return poll.Continue("no response yet")
 		}
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(10*time.Millisecond))
-	<-gone
+	<-disconnected
 }
--- a/internal/gateway/completions.go
+++ b/internal/gateway/completions.go
@@ -220,11 +220,11 @@
 	if text == "" {
 		return model.WeightsVersion, nil
 	}
-	asked, err := strconv.Atoi(text)
-	if err != nil || asked < 0 {
+	minimum, err := strconv.Atoi(text)
+	if err != nil || minimum < 0 {
 		return 0, invalid(http.StatusBadRequest, headerMinimumWeights, "must be a whole number")
 	}
-	return max(asked, model.WeightsVersion), nil
+	return max(minimum, model.WeightsVersion), nil
 }
 
 func resumeToken(c echo.Context, r *engineapi.CompletionRequest) (*dispatch.Token, error) {
--- a/internal/gateway/errors.go
+++ b/internal/gateway/errors.go
@@ -13,7 +13,7 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Outcome says whether a failed request was run.
+// Outcome is whether a failed request was run.
 type Outcome string
 
 // The outcomes.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -27,7 +27,7 @@
 	headerIdempotencyKey = "Idempotency-Key"
 	headerLastEventID    = "Last-Event-ID"
 	headerRetryAfter     = "Retry-After"
-	// headerOutcome says on every error whether the request was run.
+	// headerOutcome is the header of every error response that reports whether the request was run.
 	headerOutcome = "Request-Outcome"
 )
 
--- a/internal/placer/limited.go
+++ b/internal/placer/limited.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// notFound returns the choice for a request without an engine; reserved says that an engine
+// notFound returns the choice for a request without an engine; reserved is set if an engine
 // reserves its place for other requests.
 func (p *Placer) notFound(now time.Duration, q *backends.Query, reserved bool) backends.Choice {
 	if !reserved && p.pool.RetryDelay(now, q) == 0 {
--- a/internal/poison/detector.go
+++ b/internal/poison/detector.go
@@ -207,8 +207,8 @@
 	known := map[string]Liveness{}
 	for d, r := range l.requests {
 		for backend, e := range r.failures {
-			s, asked := known[backend]
-			if !asked {
+			s, found := known[backend]
+			if !found {
 				s = signs(backend)
 				known[backend] = s
 			}
@@ -328,7 +328,7 @@
 }
 
 // indistinguishable reports whether another request met all ends that count against this one.
-// Neither is blocked until a further end tells them apart.
+// Neither is blocked until a further end distinguishes them.
 func (c *evaluation) indistinguishable(d Digest) bool {
 	for other := range c.ends {
 		if other != d && c.covers(other, d) {
--- a/internal/poison/detector_test.go
+++ b/internal/poison/detector_test.go
@@ -133,7 +133,7 @@
 
 // The loss of a machine closes no connections. Only an attempt that began before the last
 // heartbeat interval ended and was cancelled after it can be the cause.
-func TestSilenceIsAnEndOnceBackendIsGone(t *testing.T) {
+func TestSilenceCountsAsEndOnceBackendIsGone(t *testing.T) {
 	cases := map[string]struct {
 		ended   FailedAttempt
 		signs   Liveness
@@ -190,7 +190,7 @@
 	assert.DeepEqual(t, w.block(6*time.Second), []Digest{2})
 }
 
-// Two requests that met the same three ends are told apart by a further end.
+// A further end distinguishes two requests that met the same three ends.
 func TestIndistinguishableRequestsNeedAnotherEnd(t *testing.T) {
 	w := newFixture()
 	for i, id := range []string{"a", "b", "c"} {
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -71,9 +71,9 @@
 	pool        string
 	observation observation
 	lines       bounded.LineLimiter
-	// asked averages the requests by urgency, granted the permits by tenant.
-	asked   map[int]*decay.Sum
-	granted map[string]*decay.Sum
+	// requested averages the requests by urgency, granted the permits by tenant.
+	requested map[int]*decay.Sum
+	granted   map[string]*decay.Sum
 	// grants and denied average the back end's verdicts.
 	grants, denied decay.Sum
 }
@@ -151,7 +151,7 @@
 		if !latest.limited || len(l.accounts) >= 4*maxBackends {
 			return false
 		}
-		a = &account{pool: report.Pool, asked: map[int]*decay.Sum{}, granted: map[string]*decay.Sum{}}
+		a = &account{pool: report.Pool, requested: map[int]*decay.Sum{}, granted: map[string]*decay.Sum{}}
 		l.accounts[report.ID] = a
 	} else {
 		latest = latest.merge(a.observation, reportSkew)
@@ -197,7 +197,7 @@
 
 // Verdict is the answer to a Request.
 type Verdict struct {
-	// Unlimited is set if the back end has no limit. Otherwise Granted says whether there is a
+	// Unlimited is set if the back end has no limit. Otherwise Granted is set if there is a
 	// permit.
 	Unlimited bool
 	Granted   bool
@@ -209,8 +209,8 @@
 // Allowed reports whether the request may be sent.
 func (v Verdict) Allowed() bool { return v.Unlimited || v.Granted }
 
-// Request asks for a permit to send one request to a back end. Router and Number identify the
-// permit when it is released.
+// Request is a request for a permit to send one request to a back end. Router and Number
+// identify the permit when it is released.
 type Request struct {
 	Router   string
 	Number   uint64
@@ -362,7 +362,7 @@
 
 // countRequest counts a request by its urgency.
 func (a *account) countRequest(now time.Duration, urgency int) {
-	sumFor(a.asked, urgency).Add(now, averagingTime, 1)
+	sumFor(a.requested, urgency).Add(now, averagingTime, 1)
 }
 
 // issued counts a permit by its tenant.
@@ -382,8 +382,8 @@
 	return s
 }
 
-// reserve is what a request that yields leaves in the bucket: all but one request of its
-// capacity, and one at least.
+// reserve returns the amount that a request which yields leaves in the bucket: all but one
+// request of its capacity, and one at least.
 func (l *Limiter) reserve(name string) quota.Amount { return max(l.quota.Capacity(name)-1, 1) }
 
 // minRecent is the least average that counts as recent, about two or three times averagingTime
@@ -394,7 +394,7 @@
 // to other tenants if its own has had more than an even share. It is not refused while the
 // bucket holds more than the reserve, so the rate is used in full.
 func (a *account) yields(now time.Duration, c coordapi.Claimant) bool {
-	for urgency, s := range a.asked {
+	for urgency, s := range a.requested {
 		if urgency < c.Urgency && s.Value(now, averagingTime) > minRecent {
 			return true
 		}
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -36,7 +36,7 @@
 	return Request{Router: "r", Number: uint64(number), Backend: coordapi.BackendID(id)}
 }
 
-// allowed is how many requests a back end with a limit accepts within four seconds.
+// allowed returns how many requests a back end with a limit accepts within four seconds.
 func allowed(rate float64) int { return int(1.5*rate*4) + 5 }
 
 // maxInWindow returns the largest count of ascending times within any four seconds.
@@ -144,8 +144,8 @@
 // Routers report what they observed up to a second or so later, and in any order.
 func TestLimitHoldsUntilNewerReport(t *testing.T) {
 	l := newTestLimiter()
-	at := func(now time.Duration, rate float64, limited bool, sent, heard time.Duration) {
-		l.Observe(now, []coordapi.LimitReport{{ID: "a", Pool: "p", Limited: limited, Rate: rate, SentAgo: now - sent, ReceivedAgo: now - heard}})
+	at := func(now time.Duration, rate float64, limited bool, sent, received time.Duration) {
+		l.Observe(now, []coordapi.LimitReport{{ID: "a", Pool: "p", Limited: limited, Rate: rate, SentAgo: now - sent, ReceivedAgo: now - received}})
 	}
 	holds := func(now time.Duration) bool { return !l.Take(now, request(0, "a")).Unlimited }
 	at(time.Second, 1, true, 800*time.Millisecond, 900*time.Millisecond)
@@ -183,7 +183,7 @@
 	l.Observe(0, limited("a", rate))
 	random := rand.New(rand.NewPCG(7, 1))
 	claimants := slices.SortedFunc(maps.Keys(demand), func(x, y coordapi.Claimant) int { return cmp.Compare(demand[x], demand[y]) })
-	asked, got := map[coordapi.Claimant]float64{}, map[coordapi.Claimant]float64{}
+	requested, got := map[coordapi.Claimant]float64{}, map[coordapi.Claimant]float64{}
 	const step = time.Millisecond
 	number := 0
 	for now := time.Duration(0); now < 200*time.Second; now += step {
@@ -194,14 +194,14 @@
 			number++
 			r := request(number, "a")
 			r.Claimant = c
-			asked[c]++
+			requested[c]++
 			if l.Take(now, r).Granted {
 				got[c]++
 			}
 		}
 	}
 	for c := range got {
-		got[c] /= asked[c]
+		got[c] /= requested[c]
 	}
 	return got
 }
@@ -218,7 +218,7 @@
 	assert.Assert(t, got[urgent]*20+got[other]*20 > 4.75, "%v", got)
 }
 
-// A tenant that asks for ten times as much takes nothing of another's even share.
+// A tenant with ten times as many requests takes nothing of another's even share.
 func TestPermitsAreSharedBetweenTenants(t *testing.T) {
 	small, large := coordapi.Claimant{Tenant: "small"}, coordapi.Claimant{Tenant: "large"}
 	got := grantedShare(10, map[coordapi.Claimant]float64{small: 4, large: 40})
--- a/internal/ratelimit/observation.go
+++ b/internal/ratelimit/observation.go
@@ -10,7 +10,7 @@
 // sending the request and receiving the head of the response.
 type observation struct {
 	sent, received time.Duration
-	// limited says whether there is a limit; rate is its value.
+	// limited is set if there is a limit; rate is its value.
 	limited bool
 	rate    PerSecond
 }
--- a/internal/ratelimit/registry.go
+++ b/internal/ratelimit/registry.go
@@ -199,8 +199,8 @@
 	return fmt.Errorf("%w and no permit is held", ErrNoPermit)
 }
 
-// requeueLimit reports a limit to the leader again if the leader's permit says that there is
-// none.
+// requeueLimit reports a limit to the leader again if the leader's permit is one for
+// back ends without a limit.
 func (r *Registry) requeueLimit(id coordapi.BackendID, p *Permit) {
 	if b := r.backends[id]; p != nil && p.unlimited() && b != nil && b.observation.limited {
 		r.unreported[id] = struct{}{}
--- a/internal/ratelimit/strategies_test.go
+++ b/internal/ratelimit/strategies_test.go
@@ -57,17 +57,17 @@
 // second before.
 type sampled struct {
 	rate, chance float64
-	asked        int
+	requests     int
 	at           time.Duration
 	random       *rand.Rand
 }
 
 func (s *sampled) allow(now time.Duration, _ int) bool {
 	if now-s.at >= time.Second {
-		s.chance = min(s.rate/max(float64(s.asked), 1), 1)
-		s.asked, s.at = 0, now
+		s.chance = min(s.rate/max(float64(s.requests), 1), 1)
+		s.requests, s.at = 0, now
 	}
-	s.asked++
+	s.requests++
 	return s.random.Float64() < s.chance
 }
 
@@ -95,18 +95,18 @@
 		"each alone":        &independent{fullBuckets(), rate},
 		"even split":        &evenSplit{partialBuckets, rate},
 		"sampled by demand": &sampled{rate: rate, chance: 1, random: random},
-		"rights":            &leaderGranted{limiter: limiter},
+		"permits":           &leaderGranted{limiter: limiter},
 	}
 }
 
-// outcome is what a back end received.
+// outcome is the load that a back end received.
 type outcome struct {
 	// most is the largest count in four seconds, used the share of the rate that was used.
 	most int
 	used float64
 }
 
-// simulate asks for four times the rate, first at all routers and then at one alone.
+// simulate makes requests at four times the rate, first at all routers and then at one alone.
 func simulate(s strategy, routers int, rate float64, random *rand.Rand) outcome {
 	const length = 40 * time.Second
 	var times []time.Duration
@@ -134,7 +134,7 @@
 			for name, s := range strategies(routers, rate, random) {
 				got := simulate(s, routers, rate, random)
 				t.Logf("%4d routers, %5.1f a second, %-18s most %5d in 4 s of %5d allowed, %.2f of the rate used", routers, rate, name, got.most, allowed(rate), got.used)
-				if name == "rights" {
+				if name == "permits" {
 					assert.Assert(t, got.most <= allowed(rate), "%d routers at %v: %d", routers, rate, got.most)
 					assert.Assert(t, got.used >= 0.8, "%d routers at %v: %v", routers, rate, got.used)
 				}
