--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -182,7 +182,7 @@
 	case !notRun(err) && !d.budget.Spend():
 		// The engine may be running the request. Generation may be repeated, but only within the
 		// retry budget.
-		return d.markFailed(p, errors.Wrap(err, "retry budget is exhausted"))
+		return d.markFailed(p, errors.Wrap(err, "retry budget is spent"))
 	}
 	return nil
 }
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -51,7 +51,7 @@
 // callerError is a failure to write the answer to the caller. It is not retried.
 type callerError struct{ cause error }
 
-func (e *callerError) Error() string { return "write answer to caller: " + e.cause.Error() }
+func (e *callerError) Error() string { return "give answer to caller: " + e.cause.Error() }
 
 func (e *callerError) Unwrap() error { return e.cause }
 
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -49,7 +49,7 @@
 func (d *Dispatcher) stream(ctx context.Context, job *Job, endpoint *scheduling.Endpoint, p *progress, sink Sink, resume bool) (Stage, error) {
 	address := d.config.Pool.Address(endpoint.ID)
 	if address == "" {
-		return StageConnecting, errors.Mark(errors.New("engine is no longer in the pool"), ErrNotSent)
+		return StageConnecting, errors.Mark(errors.New("the engine is not listed any more"), ErrNotSent)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -75,7 +75,7 @@
 	return stage, err
 }
 
-var errIdleTimeout = errors.New("no data from the engine within the idle timeout")
+var errIdleTimeout = errors.New("the engine was silent for too long")
 
 // readRefusal returns the refusal in a response as a RefusalError.
 func readRefusal(response *http.Response) error {
@@ -153,9 +153,9 @@
 	case failure != nil:
 		return failure
 	case *stage != StageEnded:
-		return errors.New("stream ended without the end marker")
+		return errors.New("the stream ended without its end mark")
 	case !p.done:
-		return errors.New("stream ended without the final event")
+		return errors.New("the stream ended without its final event")
 	}
 	return nil
 }
@@ -168,7 +168,7 @@
 		return errors.Wrap(err, "decode event")
 	}
 	if chunk.ID != job.ID || len(chunk.Choices) != 1 {
-		return errors.Newf("received an event of request %q in the stream of request %q", chunk.ID, job.ID)
+		return errors.Newf("event of request %q in the stream of %q", chunk.ID, job.ID)
 	}
 	final := chunk.Choices[0].FinishReason != nil
 	index, err := strconv.Atoi(event.LastEventID)
@@ -179,7 +179,7 @@
 	case index < p.next || p.done:
 		return nil
 	case index > p.next:
-		return errors.Newf("received event %d, expected %d", index, p.next)
+		return errors.Newf("event %d came where %d was due", index, p.next)
 	}
 	token := Token{Engine: endpoint.ID, Incarnation: endpoint.Incarnation, Request: job.ID, Next: index + 1}
 	if final {
--- a/internal/router/handlers.go
+++ b/internal/router/handlers.go
@@ -26,7 +26,7 @@
 func (r *Router) handleTrace(request controlapi.TraceRequest) (trace.Trace, error) {
 	found, ok := r.traces.Find(request.RequestID)
 	if !ok {
-		return found, errors.Newf("no trace of request %s on this router", request.RequestID)
+		return found, errors.Newf("no trace of request %s here", request.RequestID)
 	}
 	return found, nil
 }
--- a/internal/standin/engine/serve.go
+++ b/internal/standin/engine/serve.go
@@ -122,7 +122,7 @@
 	case in.weights > e.weights:
 		return &apiError{http.StatusConflict, engineapi.KindWeights, fmt.Sprintf("the engine has weights version %d", e.weights)}
 	case e.held[in.id] != nil:
-		return &apiError{http.StatusConflict, engineapi.KindInvalid, "the request ID is already in use"}
+		return &apiError{http.StatusConflict, engineapi.KindInvalid, "the request's name is taken"}
 	}
 	return nil
 }
@@ -136,7 +136,7 @@
 		total = defaultOutput
 	}
 	if in.resumeIndex >= total {
-		return nil, &apiError{http.StatusBadRequest, engineapi.KindInvalid, "the resume index is beyond the end of the answer"}
+		return nil, &apiError{http.StatusBadRequest, engineapi.KindInvalid, "the resume index is past the answer's end"}
 	}
 	err := e.model.Add(enginemodel.Request{ID: in.id, Chain: chain, PromptTokens: tokens, OutputTokens: total - in.resumeIndex,
 		FirstIndex: in.resumeIndex, Priority: in.priority})
