--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -21,8 +21,8 @@
 	"quinceridge.example/quinceridge/internal/state"
 )
 
-// peerMajorityDuration is how long a peer's report that it has no lease is valid, counted from
-// the request.
+// peerMajorityDuration is the validity of a peer's report that it has no lease, counted from the
+// time at which the request was sent.
 const peerMajorityDuration = 2 * time.Second
 
 // PersistentState is the state that a router must keep across restarts.
@@ -59,8 +59,8 @@
 	durable  PersistentState
 	dirty    bool
 	leaseEnd time.Duration
-	// answered reports whether the control leader has ever replied, answeredAt is when the
-	// latest request that it answered was sent.
+	// answered is set once the control leader has replied. answeredAt is the time at which the
+	// latest answered request was sent.
 	answered   bool
 	answeredAt time.Duration
 	peers      map[string]peerWithoutLease
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -10,18 +10,19 @@
 // controlTimeout is the time without a reply after which control counts as unreachable.
 const controlTimeout = time.Second
 
-// ShouldQueryPeers reports whether the router should ask its peers whether they hold a lease:
-// it has none itself, and control is unreachable. A router that gets replies but no lease,
-// such as a joining one, has not lost control.
+// ShouldQueryPeers reports whether the router should query the lease state of its peers: it has
+// no lease itself, and control is unreachable. A router that receives replies but no lease, such
+// as a joining one, has not lost control.
 func (a *Agent) ShouldQueryPeers(now time.Duration) bool {
 	unreachable := !a.answered || now >= a.answeredAt+controlTimeout
 	return now >= a.leaseEnd && unreachable && a.newest() != nil
 }
 
-// requeryMargin is how long before a peer's report expires the peer is asked again.
+// requeryMargin is the time before the expiry of a peer's report at which the peer is queried
+// again.
 const requeryMargin = peerMajorityDuration / 2
 
-// PeersToQuery returns the routers to ask at now: those whose reports are missing or about to
+// PeersToQuery returns the routers to query at now: those whose reports are missing or about to
 // expire, and the one that has the missing bundle.
 func (a *Agent) PeersToQuery(now time.Duration) []state.Router {
 	var peers []state.Router
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -19,7 +19,7 @@
 	routers     map[string]*routerLease
 	// proposedStage is the stage whose acceptance was proposed, or 0.
 	proposedStage uint64
-	// admitting is true while an admission is being proposed.
+	// admitting is set while an admission is being proposed.
 	admitting bool
 	// registering holds the names of routers whose registration is being proposed.
 	registering map[string]bool
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -26,7 +26,7 @@
 	assert.Equal(t, len(tracker.dueLoads(time.Second, b, machines)), 0)
 	machines[0].WeightsVersion = 2 // the first engine has loaded
 	assert.Equal(t, len(tracker.dueLoads(2*time.Second, b, machines)), 1)
-	// An order is repeated if its engine did not load.
+	// An order is resent if its engine did not load.
 	assert.Equal(t, len(tracker.dueLoads(orderRetryInterval, b, machines)), 2)
 	machines[1].Leaving = true
 	for i := range machines {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -201,7 +201,7 @@
 	go func() { _ = s.status.Serve(listener) }()
 }
 
-// ready reports whether the node is the leader or knows one.
+// ready serves the readiness check. The node is ready if it is the leader or has one.
 func (s *Server) ready(w http.ResponseWriter, r *http.Request) {
 	known := false
 	s.loop.Do(r.Context(), func(now time.Duration) {
--- a/internal/controlclient/controlclient.go
+++ b/internal/controlclient/controlclient.go
@@ -65,7 +65,7 @@
 // outcome is the result of a call to one node.
 type outcome struct {
 	done   bool   // the node is the leader and has replied
-	leader string // address of the leader, if the node knows another one
+	leader string // address of the leader, if the node reported another one
 }
 
 // callLeader calls the nodes in turn until the leader replies. A leader named by a node is
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -135,12 +135,12 @@
 	next int
 	// text is the generated text that this job has sent to the caller.
 	text strings.Builder
-	// textComplete reports whether text holds all tokens before next. It is false for a resumed
-	// job, whose first tokens another connection sent.
+	// textComplete is set if text holds all tokens before next. It is not set for a resumed job,
+	// whose first tokens were sent over another connection.
 	textComplete bool
-	// done reports whether the caller has received the final event.
+	// done is set once the caller has received the final event.
 	done bool
-	// mayHaveRun reports whether any engine may have begun to run the request.
+	// mayHaveRun is set once any engine may have begun to run the request.
 	mayHaveRun bool
 }
 
@@ -180,7 +180,7 @@
 	case attempt >= maxAttempts:
 		return d.markFailed(p, err)
 	case !notRun(err) && !d.budget.Spend():
-		// The engine may be running the request. Generation may be repeated, but only within the
+		// The engine may be running the request. Generation may be retried, but only within the
 		// retry budget.
 		return d.markFailed(p, errors.Wrap(err, "retry budget is spent"))
 	}
--- a/internal/gateway/application.go
+++ b/internal/gateway/application.go
@@ -29,7 +29,8 @@
 	maxWorkerTries    = 3
 	// claimTimeout bounds the wait for a claim.
 	claimTimeout = 2 * time.Second
-	// lostAttemptGrace is how long after a route's deadline a running attempt counts as lost.
+	// lostAttemptGrace is the time after a route's deadline at which an unfinished attempt
+	// counts as lost.
 	lostAttemptGrace = 5 * time.Second
 )
 
@@ -71,7 +72,7 @@
 
 // application serves the application routes of the bundle.
 func (g *Gateway) application(c echo.Context) error {
-	config, err := g.authority()
+	config, err := g.current()
 	if err != nil {
 		return err
 	}
@@ -93,7 +94,7 @@
 	r := &call{id: requestID(c), tenant: tenant, path: path, route: route, body: body, header: c.Request().Header}
 	var result workerResponse
 	if route.Retryable {
-		result, err = g.callRepeatable(c.Request().Context(), r)
+		result, err = g.callRetryable(c.Request().Context(), r)
 	} else {
 		result, err = g.callOnce(c.Request().Context(), r)
 	}
@@ -104,8 +105,8 @@
 	return c.Blob(result.status, result.contentType, result.body)
 }
 
-// callRepeatable tries workers until one responds.
-func (g *Gateway) callRepeatable(ctx context.Context, r *call) (workerResponse, error) {
+// callRetryable tries workers until one responds.
+func (g *Gateway) callRetryable(ctx context.Context, r *call) (workerResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.route.Deadline)
 	defer cancel()
 	var last error
@@ -125,7 +126,7 @@
 	return workerResponse{}, unknownOutcome("the application worker gave no answer")
 }
 
-// callOnce runs a call that may not be repeated, under a claim on its key.
+// callOnce runs a call that must not be retried, under a claim on its key.
 func (g *Gateway) callOnce(ctx context.Context, r *call) (workerResponse, error) {
 	key := r.header.Get(headerIdempotencyKey)
 	if key == "" || len(key) > maxIdempotencyKey {
@@ -139,13 +140,13 @@
 		return workerResponse{}, notRun(http.StatusServiceUnavailable, claims.ErrNoQuorum.Error(), time.Second)
 	}
 	if result.State != state.ClaimGranted {
-		return repeatedCall(r, result)
+		return priorResult(r, result)
 	}
 	return g.runOnce(r, claim)
 }
 
-// repeatedCall returns the result for a call whose key has been used before.
-func repeatedCall(r *call, claim state.ClaimResult) (workerResponse, error) {
+// priorResult returns the result for a call whose key has been used before.
+func priorResult(r *call, claim state.ClaimResult) (workerResponse, error) {
 	switch claim.State {
 	case state.ClaimFinished:
 		switch {
@@ -167,8 +168,8 @@
 	return workerResponse{}, notRun(http.StatusServiceUnavailable, "the claim was given up", time.Second)
 }
 
-// runOnce makes the only attempt. It continues when the caller disconnects, so that a repeat of
-// the call gets the outcome.
+// runOnce makes the only attempt. It continues when the caller disconnects, so that a retry of
+// the call returns the outcome.
 func (g *Gateway) runOnce(r *call, claim state.ClaimOperation) (workerResponse, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.route.Deadline)
 	defer cancel()
@@ -196,7 +197,7 @@
 	if err != nil {
 		return workerResponse{}, errors.Mark(err, dispatch.ErrNotSent)
 	}
-	// Without GetBody the transport never repeats a call by itself.
+	// Without GetBody the transport cannot retry the call by itself.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", r.header.Get("Content-Type"))
 	request.Header.Set(headerRequestID, r.id)
--- a/internal/gateway/completions.go
+++ b/internal/gateway/completions.go
@@ -34,7 +34,7 @@
 
 // completions serves both completion APIs.
 func (g *Gateway) completions(c echo.Context) error {
-	config, err := g.authority()
+	config, err := g.current()
 	if err != nil {
 		return err
 	}
@@ -220,11 +220,11 @@
 	if text == "" {
 		return model.WeightsVersion, nil
 	}
-	asked, err := strconv.Atoi(text)
-	if err != nil || asked < 0 {
+	requested, err := strconv.Atoi(text)
+	if err != nil || requested < 0 {
 		return 0, invalid(http.StatusBadRequest, headerMinimumWeights, "must be a whole number")
 	}
-	return max(asked, model.WeightsVersion), nil
+	return max(requested, model.WeightsVersion), nil
 }
 
 func resumeToken(c echo.Context, r *engineapi.CompletionRequest) (*dispatch.Token, error) {
--- a/internal/gateway/errors.go
+++ b/internal/gateway/errors.go
@@ -13,14 +13,14 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Outcome says whether a failed request was run.
+// Outcome classifies a failed request by whether it was run.
 type Outcome string
 
 // The outcomes.
 const (
 	// OutcomeNotRun means that the request was not run and will not be.
 	OutcomeNotRun Outcome = "not_run"
-	// OutcomeUnknown means that the request may have been run. The router never repeats it.
+	// OutcomeUnknown means that the request may have been run. The router does not retry it.
 	OutcomeUnknown Outcome = "outcome_unknown"
 )
 
@@ -56,7 +56,7 @@
 	return errorBody{Error: detail}
 }
 
-// invalid returns the error for a request that is itself at fault.
+// invalid returns the error for an invalid request.
 func invalid(status int, parameter, message string) *APIError {
 	return &APIError{Status: status, Outcome: OutcomeNotRun, Type: "invalid_request_error", Parameter: parameter, Message: message}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -27,11 +27,11 @@
 	headerIdempotencyKey = "Idempotency-Key"
 	headerLastEventID    = "Last-Event-ID"
 	headerRetryAfter     = "Retry-After"
-	// headerOutcome says on every error whether the request was run.
+	// headerOutcome holds the Outcome of an error response.
 	headerOutcome = "Request-Outcome"
 )
 
-// Limits towards callers.
+// Limits of caller connections.
 const (
 	readHeaderTimeout = 10 * time.Second
 	readTimeout       = 30 * time.Second
@@ -98,19 +98,19 @@
 
 // ready serves the readiness check.
 func (g *Gateway) ready(c echo.Context) error {
-	if _, err := g.authority(); err != nil {
+	if _, err := g.current(); err != nil {
 		return err
 	}
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// authority returns the bundle to serve by, or an error if the router takes no requests.
-func (g *Gateway) authority() (*board.Config, error) {
+// current returns the configuration in force, or an error if the router accepts no requests.
+func (g *Gateway) current() (*board.Config, error) {
 	if draining := g.config.Board.Draining.Load(); draining != nil && *draining {
 		return nil, notRun(http.StatusServiceUnavailable, "this router is stopping", time.Second)
 	}
-	authority, config := g.config.Board.LeaseState.Load(), g.config.Board.Config.Load()
-	if config == nil || authority == nil || authority.Mode == agent.ModeNone {
+	current, config := g.config.Board.LeaseState.Load(), g.config.Board.Config.Load()
+	if config == nil || current == nil || current.Mode == agent.ModeNone {
 		return nil, notRun(http.StatusServiceUnavailable, "this router has lost control and takes no new work", time.Second)
 	}
 	return config, nil
@@ -129,7 +129,7 @@
 }
 
 func (g *Gateway) models(c echo.Context) error {
-	config, err := g.authority()
+	config, err := g.current()
 	if err != nil {
 		return err
 	}
@@ -141,7 +141,7 @@
 }
 
 func (g *Gateway) model(c echo.Context) error {
-	config, err := g.authority()
+	config, err := g.current()
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -34,16 +34,16 @@
 	"quinceridge.example/quinceridge/internal/trace"
 )
 
-// fakeLog runs commands on a local state machine. While lost is set it is unreachable.
+// fakeLog runs commands on a local state machine. Submit fails while unreachable is set.
 type fakeLog struct {
-	mu      sync.Mutex
-	machine *state.Machine
-	index   uint64
-	lost    atomic.Bool
+	mu          sync.Mutex
+	machine     *state.Machine
+	index       uint64
+	unreachable atomic.Bool
 }
 
 func (l *fakeLog) Submit(_ context.Context, c state.Command) (state.Result, error) {
-	if l.lost.Load() {
+	if l.unreachable.Load() {
 		return state.Result{}, errors.New("no leader")
 	}
 	l.mu.Lock()
@@ -58,11 +58,11 @@
 
 // fixture is a gateway with one engine and one worker.
 type fixture struct {
-	gateway   *Gateway
-	board     *board.Board
-	authority *board.Writer[board.LeaseState]
-	log       *fakeLog
-	runs      atomic.Int64
+	gateway *Gateway
+	board   *board.Board
+	lease   *board.Writer[board.LeaseState]
+	log     *fakeLog
+	runs    atomic.Int64
 	// handle serves the worker's calls.
 	handle func(w http.ResponseWriter, r *http.Request)
 }
@@ -98,9 +98,9 @@
 	config, err := f.board.Config.Claim("test")
 	assert.NilError(t, err)
 	config.Store(board.NewConfig(controlapi.BundleID{Version: 1}, b))
-	f.authority, err = f.board.LeaseState.Claim("test")
+	f.lease, err = f.board.LeaseState.Claim("test")
 	assert.NilError(t, err)
-	f.authority.Store(&board.LeaseState{Mode: agent.ModeLeased})
+	f.lease.Store(&board.LeaseState{Mode: agent.ModeLeased})
 	logger := slog.New(slog.DiscardHandler)
 	policy := scheduling.NewLeastLoad(0)
 	dispatcher := dispatch.New(dispatch.Config{Pool: pool, Policy: func(string) scheduling.Policy { return policy }, Now: now, Logger: logger})
@@ -193,7 +193,7 @@
 
 func TestRouterWithoutLeaseRejectsRequests(t *testing.T) {
 	f := newFixture(t)
-	f.authority.Store(&board.LeaseState{Mode: agent.ModeNone})
+	f.lease.Store(&board.LeaseState{Mode: agent.ModeNone})
 	w := f.call("/v1/completions", `{"model":"m","prompt":"p"}`)
 	assert.Equal(t, w.Code, 503)
 	assert.Equal(t, w.Header().Get("Retry-After"), "1")
@@ -207,7 +207,7 @@
 	assert.Equal(t, alive.Code, 200)
 }
 
-func TestRepeatedCallRunsOnce(t *testing.T) {
+func TestCallsWithSameKeyRunOnce(t *testing.T) {
 	f := newFixture(t)
 	var group sync.WaitGroup
 	for range 20 {
@@ -218,16 +218,16 @@
 	}
 	group.Wait()
 	assert.Equal(t, f.runs.Load(), int64(1))
-	w := f.callUntilKnown("/app/charges", `{"amount":5}`)
+	w := f.callUntilFinished("/app/charges", `{"amount":5}`)
 	assert.Equal(t, w.Body.String(), `{"amount":5}`)
 	w = f.call("/app/charges", `{"amount":6}`, "Idempotency-Key", "k")
 	assert.Equal(t, w.Code, 422)
 	assert.Equal(t, f.runs.Load(), int64(1))
 }
 
-// callUntilKnown repeats a call until its key is no longer running, since the outcome is stored
-// in the background.
-func (f *fixture) callUntilKnown(path, body string) *httptest.ResponseRecorder {
+// callUntilFinished retries a call until its key is no longer running, since the outcome is
+// stored in the background.
+func (f *fixture) callUntilFinished(path, body string) *httptest.ResponseRecorder {
 	for {
 		w := f.call(path, body, "Idempotency-Key", "k")
 		if w.Code != http.StatusConflict {
@@ -237,7 +237,7 @@
 	}
 }
 
-func TestCallWithLostResponseIsNotRepeated(t *testing.T) {
+func TestCallWithLostResponseIsNotRetried(t *testing.T) {
 	f := newFixture(t)
 	f.handle = func(w http.ResponseWriter, _ *http.Request) {
 		connection, _, err := http.NewResponseController(w).Hijack()
@@ -246,7 +246,7 @@
 		}
 	}
 	for range 2 {
-		w := f.callUntilKnown("/app/charges", `{}`)
+		w := f.callUntilFinished("/app/charges", `{}`)
 		assert.Equal(t, w.Code, 502, w.Body.String())
 		assert.Equal(t, w.Header().Get(headerOutcome), string(OutcomeUnknown))
 	}
@@ -255,14 +255,14 @@
 
 func TestCallWithoutQuorumIsNotRun(t *testing.T) {
 	f := newFixture(t)
-	f.log.lost.Store(true)
+	f.log.unreachable.Store(true)
 	w := f.call("/app/charges", `{}`, "Idempotency-Key", "k")
 	assert.Equal(t, w.Code, 503)
 	assert.Equal(t, w.Header().Get(headerOutcome), string(OutcomeNotRun))
 	assert.Assert(t, w.Header().Get("Retry-After") != "")
 	assert.Equal(t, f.runs.Load(), int64(0))
 	w = f.call("/app/slots", `{}`)
-	assert.Equal(t, w.Code, 200) // repeatable calls need no claim
+	assert.Equal(t, w.Code, 200) // retryable calls need no claim
 }
 
 func TestRequestIDsAreUniqueAndKeepCallersOwn(t *testing.T) {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -29,7 +29,7 @@
 	// are delayed on purpose, which share the connection with others.
 	stalledCallAge = 400 * time.Millisecond
 	// sendQueueSize is the maximum number of queued one-way messages for an address. Further
-	// ones are dropped, which is safe since their senders repeat them.
+	// ones are dropped, which is safe since their senders resend them.
 	sendQueueSize = 1024
 )
 
@@ -66,14 +66,14 @@
 	if err != nil {
 		return errors.Wrap(err, "encode request")
 	}
-	answer, err := c.link(address).call(ctx, envelope{Kind: kind, Body: body, Label: labelOf(request, kind)})
+	response, err := c.link(address).call(ctx, envelope{Kind: kind, Body: body, Label: labelOf(request, kind)})
 	if err != nil {
 		return errors.Wrapf(err, "call %s at %s", kind, address)
 	}
-	if answer.Error != "" {
-		return errors.Mark(errors.Newf("%s at %s: %s", kind, address, answer.Error), ErrRemote)
+	if response.Error != "" {
+		return errors.Mark(errors.Newf("%s at %s: %s", kind, address, response.Error), ErrRemote)
 	}
-	return errors.Wrap(json.Unmarshal(answer.Body, reply), "decode reply")
+	return errors.Wrap(json.Unmarshal(response.Body, reply), "decode reply")
 }
 
 // Send queues a one-way message. It never blocks, and the message may be lost.
@@ -160,15 +160,15 @@
 	if err != nil {
 		return envelope{}, err
 	}
-	answer := make(chan envelope, 1)
-	e.Number = l.register(answer)
+	replies := make(chan envelope, 1)
+	e.Number = l.register(replies)
 	defer l.unregister(e.Number)
 	sent := clock.Now()
 	if err := l.write(connection, e); err != nil {
 		return envelope{}, errors.Mark(err, ErrConnectionLost)
 	}
 	select {
-	case e, ok := <-answer:
+	case e, ok := <-replies:
 		if !ok {
 			return envelope{}, ErrConnectionLost
 		}
@@ -191,11 +191,11 @@
 	}
 }
 
-func (l *link) register(answer chan envelope) uint64 {
+func (l *link) register(replies chan envelope) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.number++
-	l.waiting[l.number] = answer
+	l.waiting[l.number] = replies
 	return l.number
 }
 
@@ -312,11 +312,11 @@
 		}
 		l.mu.Lock()
 		l.received = clock.Now()
-		answer := l.waiting[e.Number]
+		replies := l.waiting[e.Number]
 		delete(l.waiting, e.Number)
 		l.mu.Unlock()
-		if answer != nil {
-			answer <- e
+		if replies != nil {
+			replies <- e
 		}
 	}
 }
@@ -330,8 +330,8 @@
 		return
 	}
 	l.connection = nil
-	for number, answer := range l.waiting {
-		close(answer)
+	for number, replies := range l.waiting {
+		close(replies)
 		delete(l.waiting, number)
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -157,13 +157,13 @@
 func TestCallTimeoutDropsStalledConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	silent := make(chan struct{})
+	stalled := make(chan struct{})
 	var first sync.Once
 	s := Serve(listener, &Counters{}, func(ctx context.Context, kind string, body json.RawMessage) (any, error) {
 		hold := string(body) == "3"
 		first.Do(func() {
 			hold = true
-			close(silent)
+			close(stalled)
 		})
 		if hold {
 			<-ctx.Done()
@@ -184,7 +184,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), stalledCallAge+50*time.Millisecond)
 	defer cancel()
 	assert.Assert(t, client.Call(ctx, address, "echo", 1, &reply) != nil)
-	<-silent
+	<-stalled
 	assert.Assert(t, current() == nil, "the stalled connection is still in use")
 	assert.NilError(t, client.Call(t.Context(), address, "echo", 2, &reply))
 	// A call that is canceled early, or during which other replies arrive, does not count as
--- a/internal/router/rollout.go
+++ b/internal/router/rollout.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat and reports whether the reply has to be acknowledged by another.
+// sendHeartbeat sends one heartbeat and reports whether the reply must be acknowledged by another.
 func (o *rollout) sendHeartbeat(ctx context.Context) (again bool) {
 	o.mu.Lock()
 	if o.agent.Dirty() {
@@ -192,7 +192,7 @@
 	return len(reply.Offers) > 0 || reply.Registry != nil
 }
 
-// queryPeers asks the other routers whether they have lost control too, and applies their replies.
+// queryPeers queries the lease state of the other routers and applies their replies.
 func (o *rollout) queryPeers(ctx context.Context) {
 	o.mu.Lock()
 	sent := o.clock.now()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -84,8 +84,8 @@
 	return r, nil
 }
 
-// Start starts the router. Before it listens for callers, it waits up to startTimeout for a lease and
-// a list of machines, so that it can serve the first requests.
+// Start starts the router. Before it listens for callers, it waits up to startTimeout for a lease
+// and a list of machines, so that it can serve the first requests.
 func (r *Router) Start() error {
 	peerListener, err := net.Listen("tcp", r.settings.PeerListen)
 	if err != nil {
@@ -122,8 +122,8 @@
 	}
 }
 
-// Stop drains the router and stops it. Requests in progress may finish within the drain limit, after
-// which their connections are closed. New requests on open connections are refused as not run.
+// Stop drains the router and stops it. Requests in progress may finish within the drain limit,
+// after which their connections are closed. New requests on open connections are rejected as not run.
 func (r *Router) Stop(ctx context.Context) error {
 	draining := true
 	r.draining.Store(&draining)
