--- a/Makefile
+++ b/Makefile
@@ -1,11 +1,11 @@
-# Targets: make demo (the main job), make check (all tests), make build.
+# Main targets: make build, make demo, make check (all checks).
 
 .PHONY: build demo check format lint test models soak upgrade clean
 
 build:
 	go build -o bin/ ./cmd/...
 
-# The main job: a whole deployment as separate processes, under a surge.
+# Runs a whole deployment as separate processes under a traffic surge.
 demo: build
 	./bin/rehearse fleet --deployment grocery --seconds 30
 
@@ -19,23 +19,22 @@
 	go vet ./...
 	go tool staticcheck ./...
 
-# Tests that KNOWN-RED.txt lists (one a line: test, cause, issue) are printed and
-# passed over.
+# Prints and skips the tests that KNOWN-RED.txt lists, one per line with cause and issue.
 test:
 	@known=""; if [ -s KNOWN-RED.txt ]; then echo "known to fail, not run:"; cat KNOWN-RED.txt; \
 	known="-skip=^($$(cut -d' ' -f1 KNOWN-RED.txt | paste -sd'|'))$$"; fi; \
 	set -x; go test -race -count=1 "$${known:--skip=^$$}" ./...
 
-# Real processes under faults, a minute and a half. The seeds fix the faults; one that
-# failed once stays in the list. The long run is started by hand (docs/PROOF.md).
+# Runs real processes under injected faults for about 90 seconds. The seeds determine the
+# faults; seeds that found a failure stay in the list. docs/PROOF.md describes the long run.
 SOAK_SEEDS = 1 2 7141
 
 soak: build
 	@for seed in $(SOAK_SEEDS); do ./bin/rehearse soak --seed $$seed --seeds 1 --seconds 25 --binary bin/quinceridge || exit 1; done
 
-# Real processes under faults while the build that landed last is replaced by this one.
-# It is the one that deploy/system.toml names as production, built from the repository's own
-# history, without which this is not run and says so.
+# Runs real processes under injected faults while this build replaces the production build.
+# The latter is built from the commit that deploy/system.toml names as production; if the
+# history lacks that commit, the target prints that it was not run.
 OLDER = $(shell sed -n 's/^production = "\(.*\)"/\1/p' deploy/system.toml)
 OLDER_SEED = 4
 
@@ -46,7 +45,7 @@
 	(cd $$folder && go build -o older/ ./cmd/quinceridge); \
 	./bin/rehearse soak --seed $(OLDER_SEED) --seeds 1 --seconds 25 --binary bin/quinceridge --older $$folder/older/quinceridge
 
-# Model checking needs spin and gcc; .ci/run installs them.
+# Requires spin and gcc, which .ci/run installs.
 models:
 	./spec/check.sh
 
--- a/spec/bundle.pml
+++ b/spec/bundle.pml
@@ -1,28 +1,27 @@
 /*
- * Acceptance of a bundle and what routers serve by, at the size of three
- * routers. Control is one place here: its own agreement is election.pml's.
+ * Models the acceptance of a bundle with three routers. Control is a single
+ * process; election.pml models its consensus.
  *
- * Two operators race with contents 1 and 2 of the same version, and may resend;
- * control stages one. A router that acknowledges has it durable. Control accepts
- * once a majority of the routers has acknowledged and every other one's lease
- * has run out. A router serves while it has a lease, or for a time after a
- * majority of the routers said that they have none; it then serves by the newest
- * bundle that any of the majority knows. Timers count down with a clock that ticks whenever
- * it likes; time has no bound.
+ * Two operators propose contents 1 and 2 for the same version and may resend
+ * them; control stages one. A router acknowledges a content only after it has
+ * stored it durably. Control accepts the bundle once a majority of the routers
+ * has acknowledged it and the leases of all others have expired. A router serves
+ * while it has a lease, or for HOLD ticks after a majority of the routers,
+ * itself included, reported that they have none; it then adopts the newest
+ * bundle that this majority knows. A clock process counts all timers down and
+ * may tick at any step; time is unbounded.
  *
- * Checked: one content for a version; once the leases from before the
- * acceptance are over, no router serves by the old bundle; no router goes back.
+ * Checked: a version has one content; once the leases granted before the
+ * acceptance have expired, no router serves by the old bundle; no router returns
+ * to an older bundle.
  *
- * Mutants: NO_ADOPT lets a router go on without adopting the newest bundle;
- * NO_COMPARE lets control stage a second content; NO_MAJORITY lets control
- * accept once all leases are over, whoever acknowledged.
+ * Mutants: NO_ADOPT makes a router serve without adopting the newest bundle;
+ * NO_COMPARE makes control stage a second content; NO_MAJORITY makes control
+ * accept once all other leases have expired, however few routers acknowledged.
  *
- * An earlier version made the answering routers promise to take no lease for as
- * long as the asking one serves. The checker showed that nothing rests on it: a
- * time without a lease is short, and can only be renewed with a majority, some
- * of which knows the bundle by then. It showed too that waiting for the leases
- * of the others changes only when control says "accepted"; it is kept, so that
- * the word means in force everywhere.
+ * The properties do not depend on the wait for the other routers' leases. Control
+ * waits so that it reports a bundle as accepted only once it is in force on all
+ * routers.
  */
 #ifdef NO_COMPARE
 #define MAYSTAGE(content) true
@@ -41,16 +40,16 @@
 #endif
 
 #define R 3
-#define LEASE 1   /* as the router counts it */
-#define GRANTED 2 /* as control counts it */
-#define HOLD 1    /* how long a router serves on after asking */
-#define LONG 2    /* ticks after the acceptance from which the check holds */
+#define LEASE 1   /* ticks of a lease on the router */
+#define GRANTED 2 /* ticks of the same lease on control */
+#define HOLD 1    /* ticks that a router may serve after a majority reported no lease */
+#define LONG 2    /* ticks after the acceptance from which no router may serve by the old bundle */
 
-byte staged = 0;       /* content that control has staged, 0 for none */
+byte staged = 0;       /* content staged by control, 0 for none */
 bool accepted = false;
 byte since = 0;        /* ticks since the acceptance, up to LONG */
-byte durable[R];       /* content that the router has durable, 0 for the old bundle */
-byte inForce[R];       /* content by which the router serves, 0 for the old one */
+byte durable[R];       /* content stored on disk, 0 for the old bundle */
+byte inForce[R];       /* content by which the router serves, 0 for the old bundle */
 byte lease[R];
 byte granted[R];
 bool acked[R];
@@ -92,7 +91,7 @@
 proctype Router(byte i) {
   byte count; byte j; byte newest;
   do
-  :: /* a heartbeat and its answer, which may be lost */
+  :: /* Heartbeat. The reply may be lost. */
      atomic { true ->
        granted[i] = GRANTED;
        acked[i] = (staged != 0 && durable[i] == staged);
@@ -104,7 +103,7 @@
           lease[i] = LEASE
        :: true -> skip
        fi }
-  :: /* control is lost: ask the others, each of which may be out of reach */
+  :: /* Control is unreachable: ask the other routers, each of which may be unreachable too. */
      atomic { lease[i] == 0 ->
        count = 1; j = 0; newest = durable[i];
        do
@@ -126,7 +125,7 @@
        :: else -> skip
        fi;
        count = 0; j = 0; newest = 0 }
-  :: /* a restart: the bundle is durable, the rest is gone */
+  :: /* Restart. Only the stored bundle survives. */
      atomic { lease[i] > 0 || hold[i] > 0 -> lease[i] = 0; hold[i] = 0 }
   od
 }
--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# Checks each specification exhaustively, and that the checker refutes each of
-# its mutants. Prints every verdict; fails when one is not as it should be.
+# Model-checks each specification exhaustively and checks that spin refutes each of
+# its mutants. Prints all verdicts and fails if any of them is not the expected one.
 set -euo pipefail
 here="$(cd "$(dirname "$0")" && pwd)"
 work="$(mktemp -d)"
 trap 'rm -rf "$work"' EXIT
 bad=0
 
-# verdict NAME [MUTANT]: prints "holds" or "refuted" with the number of states.
+# verdict NAME [MUTANT]: prints "holds" with the number of states, "refuted" with the
+# violated assertion, or "unclear".
 verdict() {
   local name="$1" mutant="${2:-}" folder="$work/$1-${2:-none}"
   mkdir -p "$folder"
--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -1,16 +1,16 @@
 /*
- * At most one run for a key. Two routers try the same key, as a caller does who
- * goes to another router; each try is an attempt of its own. Messages to the
- * log are late and may arrive after their sender has given up; a router may
- * crash at any step. The log is one place: its own agreement is election.pml's.
+ * Models claims of one idempotency key by two routers that a caller tries in
+ * turn; each try is an attempt of its own. Messages to the log may be delayed and
+ * arrive after their sender has given up; a router may crash at any step. The log
+ * is a single process; election.pml models its consensus.
  *
  * Checked: the call runs at most once; an attempt that was answered "not run"
- * never runs.
+ * never runs; a released attempt never holds the key.
  *
- * Mutants: NO_VOID forgets that an attempt was released, so that a late
- * acquisition of it takes the key and hides what then happens; NO_GIVE_UP lets a
- * router act on a grant after it has answered "not run"; NO_CLAIM runs without
- * asking.
+ * Mutants: NO_VOID makes the log forget that an attempt was released, so that a
+ * delayed acquisition by it takes the key; NO_GIVE_UP lets a router use a grant
+ * that arrives after it has answered "not run"; NO_CLAIM runs the call without a
+ * claim.
  */
 #ifdef NO_VOID
 #define MAYHOLD(a) true
@@ -23,22 +23,22 @@
 mtype = { none, held, finished };
 mtype key = none;
 byte owner = 255;
-bool released[ATTEMPTS]; /* voids in the log */
-bool asked[ATTEMPTS];    /* an acquisition is under way or was applied */
-bool freed[ATTEMPTS];    /* a release is under way */
-bool grant[ATTEMPTS];    /* the answer to the acquisition */
-bool notRun[ATTEMPTS];   /* the caller was told so */
+bool released[ATTEMPTS]; /* attempts that the log has voided */
+bool asked[ATTEMPTS];    /* an acquisition is in flight */
+bool freed[ATTEMPTS];    /* a release is in flight */
+bool grant[ATTEMPTS];    /* the acquisition succeeded */
+bool notRun[ATTEMPTS];   /* the caller was answered "not run" */
 byte runs = 0;
 byte ran = 255;
 
-/* The log applies what is under way, in any order and at any time. */
+/* The log applies messages in flight in any order and at any time. */
 inline acquire(a) {
   asked[a] = false;
   if
   :: key == none && MAYHOLD(a) -> key = held; owner = a; grant[a] = true
   :: else -> skip
   fi;
-  /* A released attempt that holds the key would block it for ever. */
+  /* A released attempt that holds the key would block it permanently. */
   assert(!(released[a] && owner == a && key == held))
 }
 
@@ -65,7 +65,7 @@
   asked[a] = true;
   if
   :: grant[a] -> skip
-  :: !grant[a] -> /* no answer in time: give up, tell the caller, free the key */
+  :: !grant[a] -> /* timeout: answer "not run" and release the key */
      notRun[a] = true; freed[a] = true;
 #ifdef NO_GIVE_UP
      if
@@ -81,11 +81,11 @@
   if
   :: true -> atomic { runs++; assert(runs <= 1); assert(!notRun[a]); ran = a }
   :: true -> goto end /* crash before the run */
-  :: true -> notRun[a] = true; freed[a] = true; goto end /* no worker reachable */
+  :: true -> notRun[a] = true; freed[a] = true; goto end /* no reachable worker */
   fi;
   if
   :: atomic { owner == a && key == held -> key = finished }
-  :: true -> skip /* crash before the outcome */
+  :: true -> skip /* crash before recording the outcome */
   fi;
 end: skip
 }
--- a/spec/election.pml
+++ b/spec/election.pml
@@ -1,21 +1,23 @@
 /*
- * Election, leader lease and fencing, at the size of three control nodes.
+ * Models leader election, leader leases and fencing with three control nodes.
  *
- * Timers count down with a clock that ticks whenever it likes, so a node that
- * does nothing between ticks is one that is frozen, and time has no bound. A
- * voter that answered a heartbeat helps no candidate until its timer has run
- * out; a leader believes in itself for less than that.
+ * A clock process counts all timers down and may tick at any step, so a node that
+ * does nothing between ticks is suspended; time is unbounded. A node that answered
+ * a heartbeat grants no vote for PROMISE ticks, and a leader's lease is shorter
+ * than that.
  *
- * Checked: one leader a term; no two leaders whose leases run at one time; the
- * engine never obeys an order of a lower term after one of a higher term.
+ * A restarted node grants no vote for PROMISE ticks, as it may have answered a
+ * heartbeat before. If its disk records that it led its current term, it
+ * campaigns at once and all nodes may vote for it: the majority that elected it is
+ * bound by no promise to an earlier leader.
  *
- * A node that starts anew keeps quiet for as long as it may have promised. If
- * its disk says that it led the term it is in, it campaigns at once, and all help:
- * the majority that elected it keeps no promise to an earlier leader.
+ * Checked: a term has at most one leader; no two leaders have unexpired leases at
+ * the same time; the engine never obeys an order of a lower term after one of a
+ * higher term.
  *
- * Mutants: NO_PROMISE lets voters help a candidate while a lease runs;
- * NO_FENCE lets the engine obey any order; VOTE_IS_LED takes a campaign for a
- * term that was led.
+ * Mutants: NO_PROMISE lets nodes vote while a leader's lease is unexpired;
+ * NO_FENCE makes the engine obey any order; VOTE_IS_LED records a term as led when
+ * the node campaigns for it.
  */
 #ifdef NO_PROMISE
 #define HELPS(k) true
@@ -31,20 +33,20 @@
 #define N 3
 #define MAXTERM 3
 #define MAXRESTARTS 2
-#define LEASE 1   /* how long a leader believes */
-#define PROMISE 2 /* how long a voter keeps quiet */
+#define LEASE 1   /* ticks of a leader lease */
+#define PROMISE 2 /* ticks for which a node that answered a heartbeat grants no vote */
 
 byte term[N];
-byte quiet[N];              /* ticks until the node helps a candidate */
-byte believes[N];           /* ticks that the leader's lease still runs */
-byte leads[N];              /* the term that the node leads, 0 for none */
-byte led[N];                /* on disk: the last term that the node led */
-byte leaderOf[MAXTERM + 1]; /* node+1 that won the term */
+byte quiet[N];              /* ticks until the node may vote */
+byte believes[N];           /* remaining ticks of the leader lease */
+byte leads[N];              /* term that the node leads, 0 for none */
+byte led[N];                /* last term that the node led, on disk */
+byte leaderOf[MAXTERM + 1]; /* winner of the term as node + 1, 0 for none */
 byte restarts = 0;
-byte engine = 0;            /* highest fence seen by the engine */
-byte obeyed = 0;            /* fence of the order obeyed last */
+byte engine = 0;            /* highest fencing token that the engine has seen */
+byte obeyed = 0;            /* fencing token of the last order obeyed */
 
-/* A candidate asks all nodes in one step; each subset of answers is possible. */
+/* A candidate asks all nodes in one step; any subset of them may answer. */
 inline campaign(i, returned) {
   next = term[i] + 1;
 #ifdef VOTE_IS_LED
@@ -55,7 +57,7 @@
   :: j < N ->
      if
      :: (j != i) && (HELPS(j) || returned) && (next > term[j]) -> term[j] = next; leads[j] = 0; believes[j] = 0; votes++
-     :: true -> skip /* the message or the answer is lost */
+     :: true -> skip /* the request or the reply is lost */
      fi;
      j++
   :: else -> break
@@ -69,7 +71,7 @@
   votes = 0; j = 0; next = 0
 }
 
-/* A heartbeat that a majority answers renews the lease from when it was sent. */
+/* A heartbeat that a majority answers renews the lease, counted from when it was sent. */
 inline heartbeat(i) {
   votes = 1; j = 0;
   do
@@ -92,17 +94,17 @@
   byte votes; byte j; byte next;
   do
   :: atomic { leads[i] == 0 && term[i] < MAXTERM && HELPS(i) -> campaign(i, false) }
-  :: /* The node starts anew. */
+  :: /* Restart. */
      atomic {
        restarts < MAXRESTARTS -> restarts++;
        leads[i] = 0; believes[i] = 0; quiet[i] = PROMISE;
        if
        :: led[i] != 0 && led[i] == term[i] && term[i] < MAXTERM -> campaign(i, true)
-       :: true -> skip /* killed again before it asks */
+       :: true -> skip /* does not campaign */
        fi }
   :: atomic { leads[i] != 0 && leads[i] == term[i] -> heartbeat(i) }
-  :: /* An order. The check of the lease and the act are two steps, between
-        which the node may be frozen. */
+  :: /* An order to the engine. The node may be suspended between the check of
+        its lease and the order. */
      atomic { leads[i] != 0 && believes[i] > 0 -> next = leads[i] };
      atomic {
        if
--- a/spec/members.pml
+++ b/spec/members.pml
@@ -1,17 +1,16 @@
 /*
- * Replacing a control machine, and losing a second one just after. Five
- * machines exist; three vote at first. One entry is committed by a majority of
- * the voters before anything is lost.
+ * Models the replacement of a lost control node, followed by the loss and
+ * replacement of a second one. There are five machines, of which three are the
+ * initial voters. A majority of them has committed one entry before the first loss.
  *
- * A lost machine keeps nothing. A new machine is added as a learner, holds the
- * entry only once it was sent to it, and is promoted only when it holds it. One
- * change is made at a time, and each needs a majority of the voters that it
- * leads to.
+ * A lost machine loses its data. A new machine joins as a learner, receives the
+ * entry by replication and is promoted only once it holds the entry. Membership
+ * changes are made one at a time, and each requires a majority of the voters.
  *
- * Checked: as long as a majority of the voters is there, one of it holds the
- * committed entry, so that no leader can be elected without it.
+ * Checked: any majority of the voters that could elect a leader includes a node
+ * that holds the committed entry.
  *
- * Mutant: NO_LEARNER lets a new machine vote before it has caught up.
+ * Mutant: NO_LEARNER promotes a new machine before it holds the entry.
  */
 #ifdef NO_LEARNER
 #define READY(i) true
@@ -27,7 +26,7 @@
 bool holds[M];
 byte voters = 3;
 byte losses = 0;
-bool pending = false; /* a lost voter has not been replaced yet */
+bool pending = false; /* a lost voter is not replaced yet */
 
 inline countThere() {
   there = 0; having = 0; k = 0;
@@ -51,21 +50,21 @@
        select(i : 0 .. 4);
        countThere();
        if
-       :: /* replication to a member */
+       :: /* Replication to a voter or learner. */
           (voter[i] || learner[i]) && !lost[i] && !holds[i] && LED && having > 0 -> holds[i] = true
-       :: /* a machine is lost for good; the second only after the first was replaced */
+       :: /* Permanent loss of an initial voter, the second only once the first is replaced. */
           i < 3 && losses < 2 && !pending && voter[i] && !lost[i] ->
           lost[i] = true; holds[i] = false; losses++; pending = true
-       :: /* a new machine joins */
+       :: /* A new machine joins as a learner. */
           i >= 3 && pending && !voter[i] && !learner[i] && LED -> learner[i] = true
-       :: /* promotion */
+       :: /* Promotion of a learner. */
           learner[i] && READY(i) && LED -> learner[i] = false; voter[i] = true; voters++
-       :: /* removal of the lost one, once its replacement votes */
+       :: /* Removal of the lost voter, once its replacement is a voter. */
           i < 3 && voter[i] && lost[i] && voters == 4 && LED -> voter[i] = false; voters--; pending = false
        :: else -> skip
        fi;
        countThere();
-       /* Any majority of the voters that could elect a leader meets a holder. */
+       /* The remaining voters without the entry are no majority. */
        assert(!LED || (there - having) * 2 <= voters);
        there = 0; having = 0; k = 0; i = 0 }
   :: losses == 2 && !pending -> break
@@ -75,7 +74,7 @@
 init {
   atomic {
     voter[0] = true; voter[1] = true; voter[2] = true;
-    /* committed: two of three hold it */
+    /* The entry is committed: two of three voters hold it. */
     holds[0] = true; holds[1] = true;
     run Group()
   }
--- a/spec/watch.pml
+++ b/spec/watch.pml
@@ -1,22 +1,23 @@
 /*
- * The right of a router without a disk to serve by its configuration.
+ * Models the lease by which a router without a disk serves its configuration.
  *
- * The router asks the coordinators; a leader that holds its lease answers with
- * the configuration in force, and the router may serve by it for RIGHT ticks
- * from when it asked. Questions and answers take any time on their way. The
- * first leader is cut off at some time: from then on it commits nothing, but it
- * still answers while its lease lasts. The second is elected after that lease,
- * knows all that was acknowledged, and commits on.
+ * The router asks the coordinators. A leader with an unexpired lease replies with
+ * the configuration in force, by which the router may serve for RIGHT ticks from
+ * when it asked. Requests and replies take any time. The first leader is
+ * partitioned at some point; from then on it commits nothing, but it still replies
+ * until its lease expires. The second leader is elected after that, knows all
+ * acknowledged versions and commits further ones.
  *
- * Checked: the router never serves by a configuration later than RIGHT ticks
- * after a newer one was acknowledged, and never goes back.
+ * Checked: the router never serves by a configuration later than RIGHT ticks after
+ * a newer one was acknowledged, and never returns to an older one.
  *
- * Mutants: FROM_ARRIVAL counts the right from when the answer arrives;
- * NO_LEASE lets the first leader answer after its lease; STEADY_CLOCK lets the
- * machines of the router and of the first leader be suspended while both read a
- * clock that stands still meanwhile. (Taking an answer that
- * is older than what is held would break nothing here: a router has one
- * question out at a time, and drops the answer to one that it gave up.)
+ * Mutants: FROM_ARRIVAL counts the router's lease from the arrival of the reply;
+ * NO_LEASE lets the first leader reply after its lease has expired; STEADY_CLOCK
+ * lets the machines of the router and of the first leader be suspended while their
+ * clocks stand still.
+ *
+ * No mutant accepts a reply with an older version: the router has one request in
+ * flight and drops the reply to one that it gave up, so this violates no property.
  */
 #define END 9
 #define RIGHT 3
@@ -24,22 +25,22 @@
 #define VERSIONS 3
 
 byte now = 0;
-byte committed = 0;       /* highest acknowledged version */
-byte first = 0;           /* what the first leader knows */
+byte committed = 0;       /* newest acknowledged version */
+byte first = 0;           /* newest version that the first leader knows */
 byte ackedAt[VERSIONS];
 bool cut = false;
 byte cutAt = 0;
 
-bool asked = false;       /* a question is on its way */
+bool asked = false;       /* a request is in flight */
 byte askedAt = 0;
-bool answered = false;    /* its answer is on its way */
+bool answered = false;    /* its reply is in flight */
 byte answer = 0;
 
 bool serves = false;
 byte held = 0;
 byte until = 0;
 
-/* The router's clock and the first leader's. */
+/* The clocks of the router and of the first leader. */
 #ifdef STEADY_CLOCK
 byte routerSlept = 0;
 byte leaderSlept = 0;
@@ -100,7 +101,7 @@
   :: asked && !answered && firstAnswers -> atomic { answered = true; answer = first }
   :: asked && !answered && secondLeads -> atomic { answered = true; answer = committed }
   :: asked && answered -> atomic { take(); asked = false; answered = false }
-  :: asked -> asked = false /* lost, or given up */
+  :: asked -> asked = false /* lost or timed out */
   :: serves && mine < until -> atomic { serve(); assert(held >= seen); seen = held }
   :: now == END -> break
   od
